--- a/check.sh
+++ b/check.sh
@@ -3,5 +3,6 @@
 set -e
 cd "$(dirname "$0")"
 python -m pytest -q
+python -m ruff format --check .
 python -m ruff check .
 python -m mypy
--- a/granitepoint/emulator/command.py
+++ b/granitepoint/emulator/command.py
@@ -54,4 +54,3 @@
         file=sys.stderr,
     )
     return 0
-
--- a/granitepoint/emulator/world.py
+++ b/granitepoint/emulator/world.py
@@ -152,8 +152,13 @@
                 count = len(alive)
                 self.tally.samples.append(
                     Sample(
-                        at_s=at, depth=depth, instances=count, window=round(sum(windows) / count, 6),
-                        drop=round(sum(drops) / count, 6), out=sum(out), held=sum(held),
+                        at_s=at,
+                        depth=depth,
+                        instances=count,
+                        window=round(sum(windows) / count, 6),
+                        drop=round(sum(drops) / count, 6),
+                        out=sum(out),
+                        held=sum(held),
                     )  # fmt: skip
                 )
         if at + SAMPLE <= self.day.duration_s:
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -196,9 +196,7 @@
         kind = api.ListKind.FULL if told.whole else api.ListKind.INCREMENTAL
         entries = [listed.entry for listed in told.backends]
         self._feed(
-            api.ServerList(
-                kind, entries, told.version, told.written_after, told.ends_watch, turn=told.turn
-            )
+            api.ServerList(kind, entries, told.version, told.written_after, told.ends_watch, turn=told.turn)
         )
 
     def _on_failed(self) -> None:
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -116,8 +116,21 @@
 # -- obligations -----------------------------------------------------------------------------------------
 class Attempt:
     __slots__ = (
-        "blamed", "call", "cell", "counted", "idle", "late", "load", "lost", "number", "opened", "rescued",
-        "sent_at", "server", "status", "zone",
+        "blamed",
+        "call",
+        "cell",
+        "counted",
+        "idle",
+        "late",
+        "load",
+        "lost",
+        "number",
+        "opened",
+        "rescued",
+        "sent_at",
+        "server",
+        "status",
+        "zone",
     )
 
     def __init__(self, call: Call, number: int, server: Server, sent_at: float, load: float) -> None:
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -53,8 +53,26 @@
     """
 
     __slots__ = (
-        "body", "code", "connection", "done", "due", "elapsed", "ends_at", "headers", "id", "loop",
-        "may_start", "request", "rested", "send_by", "sent", "started_at", "status", "tail", "timer", "trust",
+        "body",
+        "code",
+        "connection",
+        "done",
+        "due",
+        "elapsed",
+        "ends_at",
+        "headers",
+        "id",
+        "loop",
+        "may_start",
+        "request",
+        "rested",
+        "send_by",
+        "sent",
+        "started_at",
+        "status",
+        "tail",
+        "timer",
+        "trust",
         "upstream",
     )
 
@@ -157,8 +175,21 @@
     """One connection to a backend; carries one exchange at a time."""
 
     __slots__ = (
-        "answer", "body", "carried", "exchange", "head_done", "headers", "idle_since", "made_at", "parser",
-        "raw", "rested", "size", "transport", "until_close", "upstream",
+        "answer",
+        "body",
+        "carried",
+        "exchange",
+        "head_done",
+        "headers",
+        "idle_since",
+        "made_at",
+        "parser",
+        "raw",
+        "rested",
+        "size",
+        "transport",
+        "until_close",
+        "upstream",
     )
 
     def __init__(self, upstream: Upstream) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -168,7 +168,7 @@
         ("slots = 4", "speeds = [1.0, 1.0, 1.0]\nspeed_cv = 0.1", "tiers[0].speed_cv"),
         ("slots = 4", "calls = 2.0", "tiers[0].calls"),
         ("slots = 4", "slots = 0", "tiers[0]"),
-        ("name = \"small\"", 'name = "small"\nzones = ["a", "a"]', "zones"),
+        ('name = "small"', 'name = "small"\nzones = ["a", "a"]', "zones"),
         ("[clients]", "swing = 0.1\n[clients]", "traffic.wave_s"),
     ],
 )
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -615,8 +615,16 @@
 
 @pytest.mark.parametrize(
     "spoil",
-    ["no file", "not json", "no settings", "bad setting", "bad address", "endless sockets", "endless seed",
-     "bad known"],
+    [
+        "no file",
+        "not json",
+        "no settings",
+        "bad setting",
+        "bad address",
+        "endless sockets",
+        "endless seed",
+        "bad known",
+    ],
 )
 def test_a_bad_configuration_is_one_line_and_exit_2(spoil: str) -> None:
     async def test() -> None:
