--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -101,7 +101,7 @@
     counted = "counted" if settings.stage == 0 else "only counted in the first tier"
     entries = [
         Entry(f"tenant {name}", _rounded(quota), PER_SECOND, f"here, at once {max(1.0, quota):g}; {counted}")
-        for name, quota in balancer.quota.items()
+        for name, quota in balancer.quota_per_s.items()
     ]
     factor = Entry("past a quota", settings.over_share_worth, "share", "of its worth that it counts for")
     return Section("tenants", [*entries, factor] if entries else [])
@@ -132,7 +132,7 @@
         Entry("at the start", logic.FIRST_PROBES, "probes", "at most, over all zones"),
         Entry("per request", logic.PROBES_PER_CALL, "probes", "of the steady ones"),
         Entry("least", logic.PROBES_LEAST, PER_SECOND, "also when idle"),
-        Entry("for one call", logic.ASK if balancer.asks else 0, "servers", "asked before it; 0: too dear"),
+        Entry("for one call", logic.ASK if balancer.probes_before_send else 0, "servers", "asked before it; 0: too dear"),
         Entry("timeout", driver.PROBE_TIMEOUT, SECONDS, "after which a probe has failed"),
         Entry("at once", driver.MOST_PROBES, "probes", "at most"),
     ])  # fmt: skip
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -610,168 +610,168 @@
         self.settings = settings
         self.random = Random(seed)
         self.actions: list[Action] = []
-        self.gate = Obligations(settings, self.actions)
-        self.list_lease, self.health = self.gate.list_lease, self.gate.health
-        self.kinds = {cls.name: Kind(cls, settings.stage) for cls in settings.classes}
+        self.safety_rules = Obligations(settings, self.actions)
+        self.list_lease, self.health_leases = self.safety_rules.list_lease, self.safety_rules.health
+        self.class_states = {cls.name: Kind(cls, settings.stage) for cls in settings.classes}
         self.admission = Admission(settings.stage, self.random)
         self.servers = Servers(settings, self.random)
-        self.quota = {t.name: t.quota_per_s / settings.balancers for t in settings.tenants}
-        self.quota_left = {name: quota for name, quota in self.quota.items()}
+        self.quota_per_s = {t.name: t.quota_per_s / settings.balancers for t in settings.tenants}
+        self.quota_tokens = {name: quota for name, quota in self.quota_per_s.items()}
         self.queue: list[Call] = []
-        self.out: dict[tuple[int, int], Attempt] = {}
-        self.busy = 0  # attempts that take a place in W
-        self.arrivals = self.sends = 0
+        self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}
+        self.counted_in_flight = 0  # attempts that take a place in W
+        self.arrivals_since_step = self.sends_since_step = 0
         self.retry_tokens = RETRY_BURST
-        self.rescue_tokens = RESCUE_BURST
+        self.hedge_tokens = RESCUE_BURST
         self.probe_tokens = FIRST_PROBES
-        self.asks = settings.may_probe and ASK * settings.price_probe <= ASK_SPEND
+        self.probes_before_send = settings.may_probe and ASK * settings.price_probe <= ASK_SPEND
         self.now = 0.0
-        self.last_step = -1.0
-        self.stalled = False  # this batch comes after a pause of the instance's own
-        self.timer_set = False
-        self.watching = not settings.ask_for_list
-        self.watch_at = -1.0
-        self.asked_at = 0.0  # the begin of the last call of a watch, as far as known
-        longest_pause = min(LONGEST_PAUSE, FAILED_ASK * settings.must_ask_within)
+        self.last_step_at = -1.0
+        self.resumed_after_stall = False  # this batch comes after a pause of the instance's own
+        self.step_timer_set = False
+        self.watch_active = not settings.ask_for_list
+        self.next_watch_at = -1.0
+        self.last_watch_call_at = 0.0  # the begin of the last call of a watch, as far as known
+        max_pause = min(LONGEST_PAUSE, FAILED_ASK * settings.must_ask_within)
         instances = settings.balancers * settings.stages
-        place = (settings.me + settings.stage / settings.stages) * GOLDEN % 1.0
-        self.backoff = Backoff(self.random, longest_pause, instances, place)
-        self.told_at = 0.0  # the last list, or the start of a watch
-        self.doubt_at = math.inf  # when to ask although a watch is on
+        phase = (settings.me + settings.stage / settings.stages) * GOLDEN % 1.0
+        self.backoff = Backoff(self.random, max_pause, instances, phase)
+        self.last_notified_at = 0.0  # the last list, or the start of a watch
+        self.recheck_list_at = math.inf  # when to ask although a watch is on
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
         self.now = now
-        self.stalled = 0 <= self.last_step < now - STALL
+        self.resumed_after_stall = 0 <= self.last_step_at < now - STALL
         self.actions.clear()
-        fresh: list[Call] = []
+        new_calls: list[Call] = []
         for event in events:
             if type(event) is Outcome:
                 self.on_outcome(event)
             elif type(event) is Arrival:
-                self.on_arrival(event, fresh)
+                self.on_arrival(event, new_calls)
             elif type(event) is Timer:
                 if event.token == TICK_TOKEN:
-                    self.timer_set = False
+                    self.step_timer_set = False
             elif type(event) is Probed:
-                self.on_probed(event)
+                self.on_probe_result(event)
             elif type(event) is ServerList:
-                self.on_list(event)
+                self.on_server_list(event)
             elif type(event) is WatchLost:
                 self.on_watch_lost(event)
             elif type(event) is WatchOpened:
                 self.list_lease.watching(event.begun, event.hold)
             elif type(event) is DiscoveryFailed:
-                self.asked_at = event.begun
+                self.last_watch_call_at = event.begun
                 self.list_lease.failed(event.failure, event.begun, event.ended, event.beside)
             elif type(event) is ClosedAtRest:
                 self.servers.doubt_rest(event.rested)
             elif type(event) is Gone:
-                self.on_gone(event)
+                self.on_client_gone(event)
             elif type(event) is StreamStarted:
-                self.on_stream(event)
-        if self.last_step < 0:
+                self.on_stream_started(event)
+        if self.last_step_at < 0:
             self.start()
-        elif now - self.last_step >= STEP - 1e-9:
-            self.step()
-        for call in fresh:
+        elif now - self.last_step_at >= STEP - 1e-9:
+            self.control_step()
+        for call in new_calls:
             if not call.ended:  # the client may leave within the batch that it came in
-                self.admit(call)
+                self.admit_or_refuse(call)
         if self.list_lease.valid(now):
             self.dispatch()
         else:
-            self.wait_for_list()
-        self.shrink()
-        if not self.timer_set:
-            self.timer_set = True
+            self.expire_calls_waiting_for_list()
+        self.trim_queue()
+        if not self.step_timer_set:
+            self.step_timer_set = True
             self.actions.append(SetTimer(STEP, TICK_TOKEN))
         return list(self.actions)
 
     def start(self) -> None:
-        self.last_step = self.now
+        self.last_step_at = self.now
         # Discovery is small and all instances may start at once: the first call is spread out.
         instances = self.settings.balancers * self.settings.stages
         spread = min(FIRST_ASK, FIRST_ASK_EACH * instances, self.settings.must_ask_within / 4)
-        self.watch_at = self.now + self.random.random() * spread
+        self.next_watch_at = self.now + self.random.random() * spread
 
     # events
     def on_watch_lost(self, event: WatchLost) -> None:
-        self.health.lose(self.now, event.told_within)
+        self.health_leases.lose(self.now, event.told_within)
         if event.moved:
             self.list_lease.move(self.now)
         elif event.silent:
             self.list_lease.silent(self.now)
 
-    def on_list(self, event: ServerList) -> None:
+    def on_server_list(self, event: ServerList) -> None:
         if event.kind is ListKind.FAILED:
-            self.health.lose(self.now, math.inf)
-            self.watching = False
-            waited = self.now - self.asked_at
+            self.health_leases.lose(self.now, math.inf)
+            self.watch_active = False
+            waited = self.now - self.last_watch_call_at
             failure = event.failure or (Failure.AT_ONCE if waited <= AT_ONCE else Failure.WAITED)
-            self.watch_at = self.now + self.backoff.failed(failure, self.now)
+            self.next_watch_at = self.now + self.backoff.failed(failure, self.now)
         else:
             if event.kind is not ListKind.SAVED:
-                self.health.confirm()
+                self.health_leases.confirm()
                 written_after = self.now if event.written_after is None else event.written_after
                 self.list_lease.listed(written_after, self.now, event.ends_watch)
                 self.backoff.succeeded(event.turn)
-                self.told_at, self.doubt_at = self.now, math.inf
+                self.last_notified_at, self.recheck_list_at = self.now, math.inf
             self.servers.take_list(event, self.now)
             self.admission.set_least(len(self.servers.known), self.settings.balancers)
 
-    def on_arrival(self, event: Arrival, fresh: list[Call]) -> None:
-        if event.call in self.gate.calls or event.call in self.gate.over:
+    def on_arrival(self, event: Arrival, new_calls: list[Call]) -> None:
+        if event.call in self.safety_rules.calls or event.call in self.safety_rules.over:
             return
-        cls = self.kinds.get(event.cls)
+        cls = self.class_states.get(event.cls)
         if cls is None or not 0 < event.budget < math.inf:
-            self.gate.turn_away(event.call)
+            self.safety_rules.turn_away(event.call)
             return
-        self.arrivals += 1
+        self.arrivals_since_step += 1
         now = self.now
-        worth = cls.worth
+        utility = cls.worth
         if self.settings.worth_by_work and event.work > 0:
-            worth *= event.work
-        if self.settings.stage == 0 and event.tenant in self.quota:
-            if self.quota_left[event.tenant] >= 1:
-                self.quota_left[event.tenant] -= 1
+            utility *= event.work
+        if self.settings.stage == 0 and event.tenant in self.quota_per_s:
+            if self.quota_tokens[event.tenant] >= 1:
+                self.quota_tokens[event.tenant] -= 1
             else:
-                worth *= self.settings.over_share_worth
+                utility *= self.settings.over_share_worth
         # What the client said, not what is left of it: a pause of this instance is no wait of the client's.
-        stated = event.stated if 0 < event.stated < math.inf else event.budget
-        left = self.aim_left(cls, stated, event.resent)
-        useful = event.budget if cls.late_counts else min(event.budget, left)
-        call = Call(event.call, cls, worth, now, now + event.budget, now + useful)
-        self.gate.calls[call.id] = call
-        self.admission.history.append(worth)
+        stated_budget = event.stated if 0 < event.stated < math.inf else event.budget
+        remaining_objective = self.remaining_latency_objective(cls, stated_budget, event.resent)
+        useful_time = event.budget if cls.late_counts else min(event.budget, remaining_objective)
+        call = Call(event.call, cls, utility, now, now + event.budget, now + useful_time)
+        self.safety_rules.calls[call.id] = call
+        self.admission.history.append(utility)
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
-        self.rescue_tokens = min(RESCUE_BURST, self.rescue_tokens + RESCUE_SHARE / self.settings.stages)
-        fresh.append(call)
+        self.hedge_tokens = min(RESCUE_BURST, self.hedge_tokens + RESCUE_SHARE / self.settings.stages)
+        new_calls.append(call)
 
-    def admit(self, call: Call) -> None:
+    def admit_or_refuse(self, call: Call) -> None:
         # W grows only while it is what limits. A cut that keeps it from filling would keep itself in force.
-        slack = self.busy + len(self.queue) + 1 <= SLACK * self.admission.window
-        if (slack or self.admission.admits(call.worth)) and call.useful_until > self.now:
-            self.hold(call)
+        has_slack = self.counted_in_flight + len(self.queue) + 1 <= SLACK * self.admission.window
+        if (has_slack or self.admission.admits(call.worth)) and call.useful_until > self.now:
+            self.enqueue(call)
         else:
             self.refuse(call)
 
-    def aim_left(self, cls: Kind, budget: float, resent: bool) -> float:
+    def remaining_latency_objective(self, cls: Kind, budget: float, is_retry: bool) -> float:
         """What is left of the aim. An inner call's budget is what its caller's instance left it: its useful
         time. At the first tier a budget below the usual one tells that the client's whole time runs out, so
         how long it has waited over its earlier tries. Guards against work for answers that come too late,
         and (the median, not the longest) against a few odd budgets making every first try look late. Where
         clients mark their retries, one that is not marked has not waited, however short its budget. Harm: a
         client that forgets the mark gets work that comes too late."""
-        first = self.settings.clients_mark_retries and not resent
-        usual = cls.usual_budget(budget)  # also learned from first tries
-        if self.settings.stage or first or budget >= usual - STEP:
+        is_first_try = self.settings.clients_mark_retries and not is_retry
+        usual_budget = cls.usual_budget(budget)  # also learned from first tries
+        if self.settings.stage or is_first_try or budget >= usual_budget - STEP:
             return cls.aim
         return cls.aim - (cls.deadline - budget)
 
-    def hold(self, call: Call) -> None:
+    def enqueue(self, call: Call) -> None:
         call.queued = True
         insort(self.queue, call)
 
-    def advice(self) -> float:
+    def retry_after_advice(self) -> float:
         """When a refused client should come back: by then the calls that fill W now have been answered. A
         client that is told nothing comes back sooner, into the same crowd."""
         if not self.settings.may_advise_wait:
@@ -779,77 +779,77 @@
         return min(self.settings.max_wait_advice, max(STEP, ADVICE * self.admission.proc))
 
     def refuse(self, call: Call) -> None:
-        self.gate.answer(call, self.advice())
+        self.safety_rules.answer(call, self.retry_after_advice())
 
-    def on_gone(self, event: Gone) -> None:
-        call = self.gate.calls.get(event.call)
+    def on_client_gone(self, event: Gone) -> None:
+        call = self.safety_rules.calls.get(event.call)
         if call is None or call.ended:
             return
         if call.queued:
             self.queue.remove(call)
             call.queued = False
-        self.gate.end(call)
-        self.cancel_others(call)
+        self.safety_rules.end(call)
+        self.cancel_attempts_in_flight(call)
 
-    def cancel_others(self, call: Call) -> None:
+    def cancel_attempts_in_flight(self, call: Call) -> None:
         if call.out and self.settings.may_cancel and not call.streaming:
             for attempt in call.attempts:
                 if attempt.status < 0:
                     self.actions.append(Cancel(call.id, attempt.number))
 
-    def on_stream(self, event: StreamStarted) -> None:
-        attempt = self.out.get((event.call, event.attempt))
+    def on_stream_started(self, event: StreamStarted) -> None:
+        attempt = self.attempts_in_flight.get((event.call, event.attempt))
         if attempt is not None:
             attempt.call.streaming = True
             if attempt.counted:
                 attempt.counted = False
-                self.busy -= 1
+                self.counted_in_flight -= 1
 
     def on_outcome(self, event: Outcome) -> None:
-        attempt = self.out.pop((event.call, event.attempt), None)
+        attempt = self.attempts_in_flight.pop((event.call, event.attempt), None)
         if attempt is None:
             return
         call, server, cls, now = attempt.call, attempt.server, attempt.call.cls, self.now
         status = event.status
-        busy = self.busy
+        in_flight_before = self.counted_in_flight
         server.out -= 1
         if status != Status.MOOT:
             server.since -= 1
         if status == Status.OK:
             server.used_at = now
         if attempt.counted:
-            self.busy -= 1
+            self.counted_in_flight -= 1
         if event.rested is not None:
             attempt.idle, attempt.opened = event.rested, event.rested <= 0
-        was_ended = call.ended
-        self.gate.settle(attempt, status, event.final)
+        already_ended = call.ended
+        self.safety_rules.settle(attempt, status, event.final)
         self.servers.report(server, event.report, now)
-        self.learn(attempt, status, event.elapsed, busy)
+        self.record_outcome(attempt, status, event.elapsed, in_flight_before)
         if call.ended:
-            if not was_ended:
+            if not already_ended:
                 if call.queued:
                     self.queue.remove(call)
                     call.queued = False
-                self.cancel_others(call)
+                self.cancel_attempts_in_flight(call)
             return
         if call.out or call.queued:
             return
-        left = call.useful_until - now
+        remaining = call.useful_until - now
         # What never ran has multiplied no work; in an inner tier giving it up wastes the work above.
-        price = RETRY_UNSEEN if status in NEVER_RAN else 1.0
-        if self.gate.may_repeat(call) and left > cls.mean.value and self.retry_tokens >= price:
-            self.retry_tokens -= price
-            self.hold(call)
+        token_cost = RETRY_UNSEEN if status in NEVER_RAN else 1.0
+        if self.safety_rules.may_repeat(call) and remaining > cls.mean.value and self.retry_tokens >= token_cost:
+            self.retry_tokens -= token_cost
+            self.enqueue(call)
         else:
             self.refuse(call)
 
-    def learn(self, attempt: Attempt, status: int, elapsed: float, busy: int) -> None:
+    def record_outcome(self, attempt: Attempt, status: int, elapsed: float, in_flight_before: int) -> None:
         """What an outcome says of procQ, W and the server."""
         cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
         now = self.now
         if status in (Status.CANCELLED, Status.MOOT):
             return
-        if self.stalled and status in (Status.OK, Status.TIMEOUT):
+        if self.resumed_after_stall and status in (Status.OK, Status.TIMEOUT):
             # The instance stood still: what looks slow or overdue was answered long ago. Guards against
             # reading one's own pause as slow servers, closing W and ejecting them. Harm: what was slow
             # meanwhile is learned a turn later.
@@ -861,41 +861,41 @@
             return
         elapsed = max(elapsed, LEAST_LATENCY)
         ok = status == Status.OK
-        own = servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
+        fails_more_than_pool = servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
         if ok or status in (Status.ERROR, Status.FULL):
             servers.heard(server, now)
             servers.learn_failing(server, cls, not ok, now)
-        broken = status in (Status.CONNECT_FAILED, Status.RESET)
-        server.breaks += broken
-        lost = status == Status.RESET and servers.lost_idle(attempt, reset=True)
-        excused = broken and (lost or servers.alive(server, now))
+        connection_broken = status in (Status.CONNECT_FAILED, Status.RESET)
+        server.breaks += connection_broken
+        idle_connection_lost = status == Status.RESET and servers.lost_idle(attempt, reset=True)
+        only_connection_failed = connection_broken and (idle_connection_lost or servers.alive(server, now))
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
             cls.took(elapsed)
         # An error tells nothing of how much the servers can hold: most come from a tier below, for a reset or
         # a refusal there. Counted as a bad sign, one call failing in eight kept W shut on sound servers.
         if ok and elapsed <= cls.target:
-            admission.good(busy)
-        elif status == Status.FULL and own:
+            admission.good(in_flight_before)
+        elif status == Status.FULL and fails_more_than_pool:
             pass  # this server's own fault too
-        elif broken and attempt.late and not attempt.lost:
+        elif connection_broken and attempt.late and not attempt.lost:
             admission.window += admission.step()  # a broken connection, not a crowd, kept it so long
         elif status == Status.TIMEOUT and elapsed < cls.target:
             pass  # it had less time than an answer may take
         elif not attempt.late and attempt.counted and (ok or status in (Status.TIMEOUT, Status.FULL)):
             admission.bad()
         # capacity: calls held against latency in units of the class's mean
-        latency = elapsed / cls.mean.value
+        relative_latency = elapsed / cls.mean.value
         if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
-            spent = min(MOST_LATENCIES, latency + (not ok))
-            (servers.on_new if attempt.opened else servers.on_open).add(spent, OPEN_MEMORY)
+            total_latency = min(MOST_LATENCIES, relative_latency + (not ok))
+            (servers.on_new if attempt.opened else servers.on_open).add(total_latency, OPEN_MEMORY)
         if not ok:
             # A fast-failing server looks idle: a failure counts as a slow answer.
-            latency = MOST_LATENCIES
+            relative_latency = MOST_LATENCIES
         # What was only the connection's fault tells nothing of its server's pace.
-        if status not in (Status.FULL, Status.CONNECT_FAILED) and not excused:
-            latency = min(latency, MOST_LATENCIES)
-            server.latency_sum = server.latency_sum * FORGET + latency
+        if status not in (Status.FULL, Status.CONNECT_FAILED) and not only_connection_failed:
+            relative_latency = min(relative_latency, MOST_LATENCIES)
+            server.latency_sum = server.latency_sum * FORGET + relative_latency
             server.load_sum = server.load_sum * FORGET + attempt.load + 1
             servers.mean_load.add(attempt.load + 1, 100)
         failed = status in (Status.ERROR, Status.RESET)
@@ -911,8 +911,8 @@
                 server.trial = False
             elif server.ejections and not server.ejected_until:
                 server.ejections = 0
-        elif broken:
-            if not excused:
+        elif connection_broken:
+            if not only_connection_failed:
                 self.eject(server, hard=True)
             elif status == Status.CONNECT_FAILED:
                 # It answers others of ours, so it has no room for a further connection: ejecting it would
@@ -932,13 +932,13 @@
     def eject(self, server: Server, hard: bool) -> None:
         if not self.servers.eject(server, self.now, hard):
             return
-        for attempt in self.out.values():
+        for attempt in self.attempts_in_flight.values():
             if attempt.server is server and attempt.counted:
                 attempt.counted = False
-                self.busy -= 1
+                self.counted_in_flight -= 1
         self.servers.fill_pool(self.now)
 
-    def on_probed(self, event: Probed) -> None:
+    def on_probe_result(self, event: Probed) -> None:
         server = self.servers.known.get(event.server)
         if server is None:
             return
@@ -957,73 +957,73 @@
             server.fail_streak += 1
             if server.ejected_until:
                 if event.status in (Status.CONNECT_FAILED, Status.ERROR):
-                    self.doubt()
+                    self.suspect_stale_list()
                 server.ejected_until = self.now + min(EJECT_LONGEST, EJECT_FIRST * 2**server.ejections)
                 server.ejections = min(server.ejections + 1, 6)
             elif server.fail_streak >= 2 and server.last_ok < self.now - self.servers.unit:
                 self.eject(server, hard=True)
 
     # the control step
-    def step(self) -> None:
+    def control_step(self) -> None:
         now = self.now
-        span = now - self.last_step
-        self.last_step = now
+        interval = now - self.last_step_at
+        self.last_step_at = now
         admission, servers = self.admission, self.servers
-        admission.observe_rate(self.arrivals, span)
-        servers.send_rate += (self.sends / span - servers.send_rate) * min(1.0, span / MEMORY)
-        self.arrivals = self.sends = 0
-        for name, quota in self.quota.items():
-            self.quota_left[name] = min(max(1.0, quota), self.quota_left[name] + quota * span)
-        for cls in self.kinds.values():
-            cls.learn_base(span)
-        self.watch()
-        self.watch_ages()
+        admission.observe_rate(self.arrivals_since_step, interval)
+        servers.send_rate += (self.sends_since_step / interval - servers.send_rate) * min(1.0, interval / MEMORY)
+        self.arrivals_since_step = self.sends_since_step = 0
+        for name, quota in self.quota_per_s.items():
+            self.quota_tokens[name] = min(max(1.0, quota), self.quota_tokens[name] + quota * interval)
+        for cls in self.class_states.values():
+            cls.learn_base(interval)
+        self.start_watch_if_due()
+        self.check_attempt_ages()
         if admission.latency.count:
             servers.unit = max(admission.latency.value, 1e-3)
-        servers.fill_tokens(now, span)
-        servers.fade(span)
-        servers.idle_safe = min(self.settings.conn_idle, servers.idle_safe * (1 + span / IDLE_DOUBLES))
-        self.probe(span)
+        servers.fill_tokens(now, interval)
+        servers.fade(interval)
+        servers.idle_safe = min(self.settings.conn_idle, servers.idle_safe * (1 + interval / IDLE_DOUBLES))
+        self.send_due_probes(interval)
         admission.set_cut()
 
-    def watch(self) -> None:
-        if (not self.watching and self.now >= self.watch_at) or self.now >= self.doubt_at:
-            self.watching = True
-            self.asked_at = self.told_at = self.now
-            self.doubt_at = math.inf
+    def start_watch_if_due(self) -> None:
+        if (not self.watch_active and self.now >= self.next_watch_at) or self.now >= self.recheck_list_at:
+            self.watch_active = True
+            self.last_watch_call_at = self.last_notified_at = self.now
+            self.recheck_list_at = math.inf
             self.actions.append(Watch(True))
 
-    def doubt(self) -> None:
+    def suspect_stale_list(self) -> None:
         """A listed server that goes on refusing contradicts the list, and nothing was told for a while: the
         watch may be held by what no longer answers. A new one tells at once what was missed. Guards against
         watches that hang or are lost unseen, and lists that are late. Harm: where servers crash, each
         instance that sees it asks once more in DOUBT_SPACING, spread out."""
-        if self.settings.ask_for_list and self.watching and math.isinf(self.doubt_at):
-            soonest = max(self.now, self.told_at + DOUBT_SPACING)
-            self.doubt_at = soonest + self.random.random() * DOUBT_SPREAD
+        if self.settings.ask_for_list and self.watch_active and math.isinf(self.recheck_list_at):
+            earliest = max(self.now, self.last_notified_at + DOUBT_SPACING)
+            self.recheck_list_at = earliest + self.random.random() * DOUBT_SPREAD
 
-    def watch_ages(self) -> None:
+    def check_attempt_ages(self) -> None:
         """A hung server finishes nothing: the calls that are out tell by their age."""
         now = self.now
-        total = counted = 0.0
-        stuck: list[Attempt] = []
-        for attempt in self.out.values():
+        total_age = counted_attempts = 0.0
+        stuck_attempts: list[Attempt] = []
+        for attempt in self.attempts_in_flight.values():
             age = now - attempt.sent_at
             cls = attempt.call.cls
-            if age > RESCUE_AGE * cls.mean.value and self.overtaken(attempt):
-                self.lose(attempt)
+            if age > RESCUE_AGE * cls.mean.value and self.connection_seems_stalled(attempt):
+                self.mark_connection_stalled(attempt)
             if attempt.counted:
-                total += age
-                counted += 1
+                total_age += age
+                counted_attempts += 1
                 if not attempt.late and age > cls.target:
                     attempt.late = True
                     self.admission.bad()
             if age > RESCUE_AGE * cls.mean.value and not attempt.rescued:
-                stuck.append(attempt)
-        self.admission.age = total / counted if counted else 0.0
-        for attempt in stuck:
+                stuck_attempts.append(attempt)
+        self.admission.age = total_age / counted_attempts if counted_attempts else 0.0
+        for attempt in stuck_attempts:
             server, cls = attempt.server, attempt.call.cls
-            known = cls.mean.count > 0
+            latency_known = cls.mean.count > 0
             if server.last_ok < attempt.sent_at and not server.ejected_until and not attempt.blamed:
                 attempt.blamed = True
                 server.slow_streak += 1
@@ -1031,22 +1031,22 @@
                     self.eject(server, hard=False)
             # Before its first answer an instance knows nothing of what lies below, and the further attempts
             # of all that have just started multiply along a chain. Harm: first calls on a hung server stay.
-            if known or now - attempt.sent_at > cls.target:
-                self.rescue(attempt)
+            if latency_known or now - attempt.sent_at > cls.target:
+                self.hedge(attempt)
 
-    def overtaken(self, attempt: Attempt) -> bool:
+    def connection_seems_stalled(self, attempt: Attempt) -> bool:
         """Whether its server has served what was sent after it, or reports fewer calls in hand than this
         instance alone has out there; it is asked where its last report says nothing of this attempt."""
         server = attempt.server
         if attempt.lost or server.served_from > attempt.sent_at:
             return True
-        fresh = server.reported_at >= attempt.sent_at + REPORT_LAG
-        due = not fresh and not server.probe_out and self.now >= server.probed_at + REPORT_LAG
-        if due and self.settings.may_probe and server.state is ServerState.SERVING:
+        report_is_recent = server.reported_at >= attempt.sent_at + REPORT_LAG
+        probe_due = not report_is_recent and not server.probe_out and self.now >= server.probed_at + REPORT_LAG
+        if probe_due and self.settings.may_probe and server.state is ServerState.SERVING:
             self.send_probe(server)
-        return fresh and server.last_report + 0.5 < server.out - server.since
+        return report_is_recent and server.last_report + 0.5 < server.out - server.since
 
-    def lose(self, attempt: Attempt) -> None:
+    def mark_connection_stalled(self, attempt: Attempt) -> None:
         """Its server has long overtaken it: the connection went silent, and nothing is at
         work on it. Guards against places of W held until the deadline, and procQ raised by waits that are no
         work: both refused calls before idle servers. Harm: a long call's place is given away early."""
@@ -1055,11 +1055,11 @@
         attempt.lost = True
         if attempt.counted:
             attempt.counted = False
-            self.busy -= 1
+            self.counted_in_flight -= 1
         if attempt.late:
             self.admission.window += self.admission.step()  # it was no sign of a crowd
 
-    def rescue(self, attempt: Attempt) -> None:
+    def hedge(self, attempt: Attempt) -> None:
         """A further attempt for a call that seems stuck, where its class allows it. Most such calls are
         heavy: what was done goes on or is lost, and is done anew, at each tier below too. So it is paid for
         by that work. Guards against heavy calls that crowd sound servers by being done twice. Harm: where
@@ -1067,61 +1067,61 @@
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.out > 1:
             return
-        mean = call.cls.mean.value
-        left = call.useful_until - self.now
-        time_yet = left > max(RESCUE_LEFT * mean, mean + 2 * STEP) and not attempt.server.ejected_until
-        if time_yet or left < mean or min(self.retry_tokens, self.rescue_tokens) < 1:
+        mean_latency = call.cls.mean.value
+        remaining = call.useful_until - self.now
+        may_still_finish = remaining > max(RESCUE_LEFT * mean_latency, mean_latency + 2 * STEP) and not attempt.server.ejected_until
+        if may_still_finish or remaining < mean_latency or min(self.retry_tokens, self.hedge_tokens) < 1:
             return
-        if call.cls.effect is not Effect.REPEATABLE or not self.gate.may_repeat(call):
+        if call.cls.effect is not Effect.REPEATABLE or not self.safety_rules.may_repeat(call):
             return
         attempt.rescued = True
-        self.rescue_tokens -= min(RESCUE_MOST, (self.now - attempt.sent_at) / max(mean, LEAST_LATENCY))
+        self.hedge_tokens -= min(RESCUE_MOST, (self.now - attempt.sent_at) / max(mean_latency, LEAST_LATENCY))
         if self.settings.may_duplicate:
             self.retry_tokens -= 1
-            self.hold(call)
+            self.enqueue(call)
         elif self.settings.may_cancel:
             self.actions.append(Cancel(call.id, attempt.number))
 
-    def renew_leases(self) -> None:
+    def renew_health_leases(self) -> None:
         """Paid for by the steady probes that come after, for these bring reports too."""
-        for server in self.health.due(self.servers.pool, self.now, self.busy + len(self.queue)):
+        for server in self.health_leases.due(self.servers.pool, self.now, self.counted_in_flight + len(self.queue)):
             self.probe_tokens = max(-LEASE_DEBT, self.probe_tokens - 1)
             self.send_probe(server)
 
-    def probe(self, span: float) -> None:
+    def send_due_probes(self, interval: float) -> None:
         if not self.settings.may_probe or not self.servers.pool:
             return
         now = self.now
-        self.renew_leases()
-        rate = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
-        self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + rate * span))
+        self.renew_health_leases()
+        probe_rate = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
+        self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + probe_rate * interval))
         for server in self.servers.known.values():
-            due = server.ejected_until and now >= server.ejected_until and not server.probe_out
-            if due and server.state is ServerState.SERVING:
+            probe_due = server.ejected_until and now >= server.ejected_until and not server.probe_out
+            if probe_due and server.state is ServerState.SERVING:
                 self.send_probe(server)
-        while self.probe_tokens >= 1 and not self.asks:
-            idle = [s for s in self.servers.pool if not s.probe_out and not s.ejected_until]
-            if not idle:
+        while self.probe_tokens >= 1 and not self.probes_before_send:
+            candidates = [s for s in self.servers.pool if not s.probe_out and not s.ejected_until]
+            if not candidates:
                 break
             self.probe_tokens -= 1
-            oldest = min(s.probed_at for s in idle)
-            self.send_probe(self.random.choice([s for s in idle if s.probed_at == oldest]))
+            oldest_probe_at = min(s.probed_at for s in candidates)
+            self.send_probe(self.random.choice([s for s in candidates if s.probed_at == oldest_probe_at]))
 
-    def must_wait(self, call: Call) -> bool:
+    def must_wait_for_probes(self, call: Call) -> bool:
         """Where calls are so few that steady reports are older than a call's latency, and probes are cheap,
         a call's candidates are asked before it is sent. Guards against picks on stale reports when many
         instances share few calls."""
         if call.asked is None:
             call.asked = []
             servers = self.servers
-            pace = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
+            probe_rate = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
             if call.attempts or call.deadline - self.now < 3 * ASK_WAIT:
                 return False
-            if len(servers.pool) < pace * servers.unit or servers.unit < 2 * ASK_WAIT:
+            if len(servers.pool) < probe_rate * servers.unit or servers.unit < 2 * ASK_WAIT:
                 return False
             usable = [s for s in servers.pool if servers.usable(s, self.now)]
-            warm = [s for s in usable if servers.warm(s, self.now)]
-            call.asked = self.random.sample(warm, min(ASK - 1, len(warm)))
+            connected = [s for s in usable if servers.warm(s, self.now)]
+            call.asked = self.random.sample(connected, min(ASK - 1, len(connected)))
             others = [s for s in usable if s not in call.asked]
             call.asked += self.random.sample(others, min(ASK - len(call.asked), len(others)))
             for server in call.asked:
@@ -1138,92 +1138,92 @@
 
     # the queue
     def dispatch(self) -> None:
-        place = 0
+        position = 0
         now = self.now
         queue, servers = self.queue, self.servers
-        while place < len(queue) and self.busy + 1 <= self.admission.window:
-            call = queue[place]
-            if self.busy and call.useful_until - now < call.cls.mean.value and not call.out:
+        while position < len(queue) and self.counted_in_flight + 1 <= self.admission.window:
+            call = queue[position]
+            if self.counted_in_flight and call.useful_until - now < call.cls.mean.value and not call.out:
                 # It would most likely end too late: work for nothing. With nothing else out it is sent all
                 # the same, so that a mean that rose too far can fall again.
-                del queue[place]
+                del queue[position]
                 call.queued = False
                 self.refuse(call)
                 continue
-            if self.asks and self.must_wait(call):
-                place += 1
+            if self.probes_before_send and self.must_wait_for_probes(call):
+                position += 1
                 continue
-            choice = servers.pick(call, self.gate, now)
+            choice = servers.pick(call, self.safety_rules, now)
             if choice is None:
-                if self.health.needed(now):
-                    self.renew_leases()
+                if self.health_leases.needed(now):
+                    self.renew_health_leases()
                 if not call.attempts:
                     return
-                if servers.hopeless(call, self.gate, now):
-                    del queue[place]
+                if servers.hopeless(call, self.safety_rules, now):
+                    del queue[position]
                     call.queued = False
                     if not call.out:
                         self.refuse(call)
                 else:
-                    place += 1
+                    position += 1
                 continue
             server, load = choice
-            until = call.deadline if call.cls.late_counts else max(call.useful_until, now + STEP)
-            idle = servers.idle(server, now)
-            if idle > servers.idle_safe and servers.opening < OPEN_DEAR:
+            give_up_at = call.deadline if call.cls.late_counts else max(call.useful_until, now + STEP)
+            idle_time = servers.idle(server, now)
+            if idle_time > servers.idle_safe and servers.opening < OPEN_DEAR:
                 self.actions.append(CloseIdle(server.id))
-                idle, server.used_at = 0.0, -math.inf
-            opened = server.used_at < now - self.settings.conn_idle
-            trust = servers.idle_safe if servers.opening < OPEN_DEAR else math.inf
-            attempt = self.gate.send(call, server, now, until - now, load, trust)
-            del queue[place]
+                idle_time, server.used_at = 0.0, -math.inf
+            new_connection = server.used_at < now - self.settings.conn_idle
+            max_idle_age = servers.idle_safe if servers.opening < OPEN_DEAR else math.inf
+            attempt = self.safety_rules.send(call, server, now, give_up_at - now, load, max_idle_age)
+            del queue[position]
             call.queued = False
             if attempt is None:
                 continue
-            self.out[(call.id, attempt.number)] = attempt
-            attempt.idle, attempt.opened, server.used_at = idle, opened, now
+            self.attempts_in_flight[(call.id, attempt.number)] = attempt
+            attempt.idle, attempt.opened, server.used_at = idle_time, new_connection, now
             server.out += 1
             server.since += 1
             if servers.ramp(server, now) < 1:
                 server.tokens -= 1
-            self.busy += 1
-            self.sends += 1
+            self.counted_in_flight += 1
+            self.sends_since_step += 1
 
-    def wait_for_list(self) -> None:
+    def expire_calls_waiting_for_list(self) -> None:
         """Nothing may be sent by the list that is held. What has waited for a part of its time, or would for
         nothing, is answered: its client has time left to go elsewhere."""
-        soonest = self.now if self.watching else self.watch_at
+        earliest_list_at = self.now if self.watch_active else self.next_watch_at
         kept: list[Call] = []
         for call in self.queue:
-            until = call.arrived + HELD_FOR_LIST * (call.deadline - call.arrived)
-            if self.now < until and soonest < until:
+            wait_until = call.arrived + HELD_FOR_LIST * (call.deadline - call.arrived)
+            if self.now < wait_until and earliest_list_at < wait_until:
                 kept.append(call)
                 continue
             call.queued = False
             if not call.out:
-                self.gate.answer(call, self.advice_without_list(soonest))
+                self.safety_rules.answer(call, self.retry_after_advice_without_list(earliest_list_at))
         self.queue[:] = kept
 
-    def advice_without_list(self, soonest: float) -> float:
+    def retry_after_advice_without_list(self, earliest_list_at: float) -> float:
         """When a refused client should come back: once a list may have come."""
         if not self.settings.may_advise_wait:
             return 0.0
-        return min(self.settings.max_wait_advice, max(self.advice(), soonest - self.now))
+        return min(self.settings.max_wait_advice, max(self.retry_after_advice(), earliest_list_at - self.now))
 
-    def shrink(self) -> None:
+    def trim_queue(self) -> None:
         """A held call's wait is about (place+1)*procQ/W and must fit what is left of its usefulness."""
         if not self.queue:
             return
         now = self.now
-        wait = self.admission.proc / self.admission.window
+        wait_per_call = self.admission.proc / self.admission.window
         kept: list[Call] = []
         for call in self.queue:
-            left = call.useful_until - now
-            fits = not kept or (len(kept) + 1) * wait + TAIL * call.cls.mean.value <= left
+            remaining = call.useful_until - now
+            fits = not kept or (len(kept) + 1) * wait_per_call + TAIL * call.cls.mean.value <= remaining
             # A call that asks its candidates goes out or comes back here before its deadline; one with less
             # than a mean latency left would be work for nothing, most of all where servers are crowded.
-            asking = now < call.asked_until - 1e-9 and left > call.cls.mean.value
-            if fits and left > 0 and (asking or call.deadline - now > ANSWER_MARGIN):
+            awaiting_probes = now < call.asked_until - 1e-9 and remaining > call.cls.mean.value
+            if fits and remaining > 0 and (awaiting_probes or call.deadline - now > ANSWER_MARGIN):
                 kept.append(call)
             else:
                 call.queued = False
--- a/granitepoint/modelcheck/rules.py
+++ b/granitepoint/modelcheck/rules.py
@@ -142,14 +142,14 @@
         balancer = world.balancer
         open = {call.id for call in world.open.values() if not call.over or call.out}
         open |= {call.id for call in world.open.values() if call.ended_in == world.turns}
-        held = set(balancer.gate.calls)
+        held = set(balancer.safety_rules.calls)
         self.check(held <= open, f"held although over: {sorted(held - open)}")
         out = {(call.id, attempt.number) for call in world.open.values() for attempt in call.out}
         # What was called off in this turn is told with the next batch.
-        gone = set(balancer.out) - out
+        gone = set(balancer.attempts_in_flight) - out
         told = {(event.call, event.attempt) for event in world.pending if isinstance(event, Outcome)}
         self.check(gone <= told, f"attempts held although ended: {sorted(gone - told)}")
-        self.check(0 <= balancer.busy <= len(balancer.out), f"{balancer.busy} places taken of {len(out)}")
+        self.check(0 <= balancer.counted_in_flight <= len(balancer.attempts_in_flight), f"{balancer.counted_in_flight} places taken of {len(out)}")
 
 
 RULES: tuple[type[Rule], ...] = (Answer, Repeat, Drain, Permitted, Kept)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -164,7 +164,7 @@
             counts, self.counts = self.counts + self.upstreams.counts, Counter()
             self.upstreams.counts.clear()
             admission = self.balancer.admission
-            kinds = self.balancer.kinds.values()
+            kinds = self.balancer.class_states.values()
             states = Counter(
                 "ejected" if s.ejected_until and s.state is api.ServerState.SERVING else s.state.value
                 for s in self.balancer.servers.known.values()
@@ -172,8 +172,8 @@
             log.info(
                 "figures",
                 window=admission.window, latency_s=admission.proc, rate_per_s=admission.rate,
-                cut=admission.cut, out=self.balancer.busy, held=len(self.balancer.queue),
-                list_confirmed=int(self.balancer.health.confirmed),
+                cut=admission.cut, out=self.balancer.counted_in_flight, held=len(self.balancer.queue),
+                list_confirmed=int(self.balancer.health_leases.confirmed),
                 list_lease_s=self.balancer.list_lease.expires_at - time.monotonic(),
                 **{f"servers.{state}": count for state, count in sorted(states.items())},
                 **{f"target.{kind.name}_s": kind.target for kind in kinds},
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -135,7 +135,7 @@
     full(driver)
     part = driver.balancer.admission
     part.latency.value, part.latency.count = 0.4, 0.0  # a place waits 0.4 / 2 = 0.2 s
-    for kind in driver.balancer.kinds.values():
+    for kind in driver.balancer.class_states.values():
         kind.mean.value = 0.2
     # Within an aim of 1 s: 0.2 n + 2 x 0.2 <= 1 allows three places.
     actions = driver.feed(*[Arrival(call, "cheap", 2.0) for call in (1, 2, 3, 4)])
@@ -273,14 +273,14 @@
 def test_late_tries_are_known_by_their_budget() -> None:
     # Found in incident i37a472: a few long budgets made every first try look late.
     driver = Driver(settings())
-    kind = driver.balancer.kinds["safe"]
+    kind = driver.balancer.class_states["safe"]
     for _ in range(40):
-        assert driver.balancer.aim_left(kind, 1.2, False) == pytest.approx(1.0)
-    assert driver.balancer.aim_left(kind, 1.4, False) == pytest.approx(1.0)
-    assert driver.balancer.aim_left(kind, 1.2, False) == pytest.approx(1.0)
-    assert driver.balancer.aim_left(kind, 0.9, False) == pytest.approx(1.0 - (2.0 - 0.9))
+        assert driver.balancer.remaining_latency_objective(kind, 1.2, False) == pytest.approx(1.0)
+    assert driver.balancer.remaining_latency_objective(kind, 1.4, False) == pytest.approx(1.0)
+    assert driver.balancer.remaining_latency_objective(kind, 1.2, False) == pytest.approx(1.0)
+    assert driver.balancer.remaining_latency_objective(kind, 0.9, False) == pytest.approx(1.0 - (2.0 - 0.9))
     inner = Driver(settings(stage=1))
-    assert inner.balancer.aim_left(inner.balancer.kinds["safe"], 0.3, False) == pytest.approx(1.0)
+    assert inner.balancer.remaining_latency_objective(inner.balancer.class_states["safe"], 0.3, False) == pytest.approx(1.0)
 
 
 def test_a_pause_of_the_instance_is_no_wait_of_the_client_s() -> None:
@@ -365,7 +365,7 @@
         driver.balancer.servers.known[send.server].ejected_until = driver.now + 9.0
     said = driver.settle(send, Status.ERROR, final=False)
     assert Fail(1) in said and not sends(said)
-    assert not driver.balancer.queue and 1 not in driver.balancer.gate.calls
+    assert not driver.balancer.queue and 1 not in driver.balancer.safety_rules.calls
 
 
 def test_class_without_late_worth_times_out_at_its_aim() -> None:
@@ -507,7 +507,7 @@
     # Found by the property test: a mean latency of 0 divided.
     driver = Driver(settings())
     driver.settle(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
-    assert driver.balancer.kinds["safe"].mean.value > 0
+    assert driver.balancer.class_states["safe"].mean.value > 0
 
 
 def test_few_calls_and_cheap_probes_ask_before_sending() -> None:
@@ -573,12 +573,12 @@
 def test_hopeless_call_is_not_sent_while_others_are_out() -> None:
     # Found in incident i37a472: calls with less than a mean latency left were sent and ended too late.
     driver = Driver(settings())
-    driver.balancer.kinds["safe"].mean.value = 0.4
+    driver.balancer.class_states["safe"].mean.value = 0.4
     only_send(driver.arrive(1))
     actions = driver.arrive(2, budget=0.3)
     assert Refuse(2) in actions and not sends(actions)
     alone = Driver(settings())
-    alone.balancer.kinds["safe"].mean.value = 0.4
+    alone.balancer.class_states["safe"].mean.value = 0.4
     assert len(sends(alone.arrive(2, budget=0.3))) == 1
 
 
@@ -621,7 +621,7 @@
     for call in range(31, 60):
         driver.wait(0.05)
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
-    assert balancer.busy == 0 and silent.call in balancer.gate.calls
+    assert balancer.counted_in_flight == 0 and silent.call in balancer.safety_rules.calls
     driver.settle(silent, Status.TIMEOUT, elapsed=1.9, final=True)
     assert balancer.admission.window >= window
     assert balancer.admission.proc == pytest.approx(proc, rel=0.1)
@@ -635,7 +635,7 @@
     driver.arrive(30, "once")
     for _ in range(4):
         driver.wait(0.05)
-    assert driver.balancer.busy == 1 and driver.balancer.admission.age > 0.1
+    assert driver.balancer.counted_in_flight == 1 and driver.balancer.admission.age > 0.1
 
 
 def test_a_late_call_that_its_connection_broke_is_no_sign_of_a_crowd() -> None:
@@ -645,7 +645,7 @@
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
     window = driver.balancer.admission.window
     send = only_send(driver.arrive(60, "once"))
-    driver.wait(driver.balancer.kinds["once"].target + 0.1)
+    driver.wait(driver.balancer.class_states["once"].target + 0.1)
     assert driver.balancer.admission.window < window  # by its age it looks like one
     driver.settle(send, Status.RESET, elapsed=0.5, final=True)
     assert driver.balancer.admission.window == pytest.approx(window, rel=0.02)
@@ -656,7 +656,7 @@
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
-    window, target = driver.balancer.admission.window, driver.balancer.kinds["once"].target
+    window, target = driver.balancer.admission.window, driver.balancer.class_states["once"].target
     driver.settle(only_send(driver.arrive(60, "once")), Status.TIMEOUT, elapsed=target / 2, final=True)
     assert driver.balancer.admission.window == window
     driver.settle(only_send(driver.arrive(61, "once")), Status.TIMEOUT, elapsed=target + 0.1, final=True)
@@ -671,13 +671,13 @@
         driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.arrive(30, "once")
     asked = [action for action in driver.wait(0.8) if isinstance(action, Probe)]
-    assert asked and driver.balancer.busy == 1
+    assert asked and driver.balancer.counted_in_flight == 1
     driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 1.0}))  # it is at work on it
     driver.wait(0.05)
-    assert driver.balancer.busy == 1
+    assert driver.balancer.counted_in_flight == 1
     driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.wait(0.05)
-    assert driver.balancer.busy == 0
+    assert driver.balancer.counted_in_flight == 0
 
 
 def test_errors_leave_the_window_as_it_is() -> None:
@@ -769,7 +769,7 @@
     # Found on wide+reset+stale days of central-santiago: servers turned one class away, after 354 ms each.
     driver = Driver(settings(), servers=entries(1, 2))
     servers = driver.balancer.servers
-    safe, once = driver.balancer.kinds["safe"], driver.balancer.kinds["once"]
+    safe, once = driver.balancer.class_states["safe"], driver.balancer.class_states["once"]
     send = only_send(driver.arrive(1, "once"))
     driver.settle(send, Status.FULL, elapsed=0.354, final=True)
     failed = servers.known[send.server]
@@ -860,7 +860,7 @@
     # Found on the quiet day of pratiche-nord: inner calls with less than 0.1 s left were refused while they
     # waited a hundredth for their probes.
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
-    driver.balancer.kinds["safe"].mean.value = 0.05
+    driver.balancer.class_states["safe"].mean.value = 0.05
     actions = driver.arrive(1, budget=0.08)
     assert not sends(actions) and Refuse(1) not in actions
     assert len(sends(driver.wait(0.012))) == 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -232,7 +232,7 @@
                 return await connect(*args)
 
             caller = await here.caller()
-            here.driver.balancer.health.confirm()  # so that it waits for no health check, slow too
+            here.driver.balancer.health_leases.confirm()  # so that it waits for no health check, slow too
             monkeypatch.setattr(here.driver.upstreams.loop, "create_connection", slow)
             caller.send("canje", FIRST, budget="6000m")
             await here.until(lambda: bool(here.driver.out))
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -232,7 +232,7 @@
     made = asking()
     made.wait(1.0)
     made.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
-    made.balancer.watch_at = made.now + 5.0
+    made.balancer.next_watch_at = made.now + 5.0
     assert any(isinstance(action, Refuse) for action in made.arrive(1, budget=1.0))
 
 
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -60,16 +60,16 @@
     class Changed(Balancer):
         def __init__(self, settings: Settings, seed: int) -> None:
             super().__init__(settings, seed)
-            self.gate = gate(settings, self.actions)
+            self.safety_rules = gate(settings, self.actions)
 
     return Changed
 
 
 class KeepsWhatAListLeavesOut(Balancer):
-    def on_list(self, event: ServerList) -> None:
+    def on_server_list(self, event: ServerList) -> None:
         if event.kind is ListKind.FULL:
             event = ServerList(ListKind.INCREMENTAL, event.entries, event.version)
-        super().on_list(event)
+        super().on_server_list(event)
 
 
 class WaitsInVain(Balancer):
@@ -79,7 +79,7 @@
 
 
 class ProbesAlways(Balancer):
-    def probe(self, span: float) -> None:
+    def send_due_probes(self, interval: float) -> None:
         for server in self.servers.pool:
             if not server.probe_out:
                 self.send_probe(server)
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -188,7 +188,7 @@
     driver.feed(StreamStarted(1, 0, send.server))
     actions = driver.wait(4.0)
     assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
-    assert driver.balancer.busy == 0
+    assert driver.balancer.counted_in_flight == 0
 
 
 def test_cold_server_is_sent_no_more_than_its_budget() -> None:
