--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -602,11 +602,16 @@
         server.since = 0
 
 
-# -- the balancer ----------------------------------------------------------------------------------------
+# -- balancer --------------------------------------------------------------------------------------------
 class Balancer:
-    """One instance. `handle` takes in all events of a batch, then queues, then dispatches the worthiest."""
+    """One instance of the proxy's decision logic: batches of events in, actions out.
+
+    `handle` first processes all events of a batch, then queues or refuses the new calls, and then sends
+    queued calls in the order of their utility. All times are in seconds.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Creates an instance that holds no list yet. `seed` determines all its random choices."""
         self.settings = settings
         self.random = Random(seed)
         self.actions: list[Action] = []
@@ -619,27 +624,31 @@
         self.quota_tokens = {name: quota for name, quota in self.quota_per_s.items()}
         self.queue: list[Call] = []
         self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}
-        self.counted_in_flight = 0  # attempts that take a place in W
+        self.counted_in_flight = 0  # attempts that count against the concurrency limit
         self.arrivals_since_step = self.sends_since_step = 0
         self.retry_tokens = RETRY_BURST
         self.hedge_tokens = RESCUE_BURST
         self.probe_tokens = FIRST_PROBES
+        # Whether probes are cheap enough to probe the candidates of a single call before it is sent.
         self.probes_before_send = settings.may_probe and ASK * settings.price_probe <= ASK_SPEND
         self.now = 0.0
         self.last_step_at = -1.0
-        self.resumed_after_stall = False  # this batch comes after a pause of the instance's own
+        self.resumed_after_stall = False  # whether this batch comes after a pause of this process
         self.step_timer_set = False
         self.watch_active = not settings.ask_for_list
         self.next_watch_at = -1.0
-        self.last_watch_call_at = 0.0  # the begin of the last call of a watch, as far as known
+        self.last_watch_call_at = 0.0  # start of the last watch call, as far as known
         max_pause = min(LONGEST_PAUSE, FAILED_ASK * settings.must_ask_within)
         instances = settings.balancers * settings.stages
         phase = (settings.me + settings.stage / settings.stages) * GOLDEN % 1.0
         self.backoff = Backoff(self.random, max_pause, instances, phase)
-        self.last_notified_at = 0.0  # the last list, or the start of a watch
-        self.recheck_list_at = math.inf  # when to ask although a watch is on
+        self.last_notified_at = 0.0  # the last list, or the start of a watch call
+        self.recheck_list_at = math.inf  # when to replace an active watch; inf: no need
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
+        """Processes a batch of events and returns the resulting actions.
+
+        `now`: time of the batch, on the clock of the times in the events; it never goes back."""
         self.now = now
         self.resumed_after_stall = 0 <= self.last_step_at < now - STALL
         self.actions.clear()
@@ -674,7 +683,7 @@
         elif now - self.last_step_at >= STEP - 1e-9:
             self.control_step()
         for call in new_calls:
-            if not call.ended:  # the client may leave within the batch that it came in
+            if not call.ended:  # the client may leave in the batch in which its call arrived
                 self.admit_or_refuse(call)
         if self.list_lease.valid(now):
             self.dispatch()
@@ -687,14 +696,16 @@
         return list(self.actions)
 
     def start(self) -> None:
+        """Starts the control steps and schedules the first watch."""
         self.last_step_at = self.now
-        # Discovery is small and all instances may start at once: the first call is spread out.
+        # Discovery has little capacity and all instances may start at once: their first calls are spread out.
         instances = self.settings.balancers * self.settings.stages
         spread = min(FIRST_ASK, FIRST_ASK_EACH * instances, self.settings.must_ask_within / 4)
         self.next_watch_at = self.now + self.random.random() * spread
 
-    # events
+    # Events
     def on_watch_lost(self, event: WatchLost) -> None:
+        """Handles a watch that failed, fell silent or moved: changes may be missed until the next list."""
         self.health_leases.lose(self.now, event.told_within)
         if event.moved:
             self.list_lease.move(self.now)
@@ -702,6 +713,7 @@
             self.list_lease.silent(self.now)
 
     def on_server_list(self, event: ServerList) -> None:
+        """Applies a list of servers, or schedules the next watch after a failed call to discovery."""
         if event.kind is ListKind.FAILED:
             self.health_leases.lose(self.now, math.inf)
             self.watch_active = False
@@ -719,6 +731,9 @@
             self.admission.set_least(len(self.servers.known), self.settings.balancers)
 
     def on_arrival(self, event: Arrival, new_calls: list[Call]) -> None:
+        """Creates the call of a new request and appends it to `new_calls`.
+
+        Repeated ids are ignored; a request with an unknown class or an invalid budget is refused."""
         if event.call in self.safety_rules.calls or event.call in self.safety_rules.over:
             return
         cls = self.class_states.get(event.cls)
@@ -735,7 +750,8 @@
                 self.quota_tokens[event.tenant] -= 1
             else:
                 utility *= self.settings.over_share_worth
-        # What the client said, not what is left of it: a pause of this instance is no wait of the client's.
+        # The budget as the client stated it, not what is left of it: a pause of this process is no time that
+        # the client has waited over its earlier tries.
         stated_budget = event.stated if 0 < event.stated < math.inf else event.budget
         remaining_objective = self.remaining_latency_objective(cls, stated_budget, event.resent)
         useful_time = event.budget if cls.late_counts else min(event.budget, remaining_objective)
@@ -747,7 +763,9 @@
         new_calls.append(call)
 
     def admit_or_refuse(self, call: Call) -> None:
-        # W grows only while it is what limits. A cut that keeps it from filling would keep itself in force.
+        """Enqueues a new call, or refuses it because of its utility or because its useful time is over."""
+        # The concurrency limit grows only while it is nearly reached. If calls were refused for their utility
+        # below that, the limit could not grow and the utility threshold would keep itself in force.
         has_slack = self.counted_in_flight + len(self.queue) + 1 <= SLACK * self.admission.window
         if (has_slack or self.admission.admits(call.worth)) and call.useful_until > self.now:
             self.enqueue(call)
@@ -755,33 +773,44 @@
             self.refuse(call)
 
     def remaining_latency_objective(self, cls: Kind, budget: float, is_retry: bool) -> float:
-        """What is left of the aim. An inner call's budget is what its caller's instance left it: its useful
-        time. At the first tier a budget below the usual one tells that the client's whole time runs out, so
-        how long it has waited over its earlier tries. Guards against work for answers that come too late,
-        and (the median, not the longest) against a few odd budgets making every first try look late. Where
-        clients mark their retries, one that is not marked has not waited, however short its budget. Harm: a
-        client that forgets the mark gets work that comes too late."""
+        """Returns how much of the latency objective of a call's class is left, in s.
+
+        `budget`: s that the client stated for this try. In an inner tier it is the useful time that the
+        caller's instance had left, so the objective applies in full. In the first tier, a budget below the
+        usual one means that the client's total time is running out: the difference between the class's
+        deadline and the budget is what the client has waited over its earlier tries. This prevents work for
+        answers that come too late. The usual budget is the median, not the maximum, since a few unusually
+        long budgets would make every first try look late. Where clients mark their retries, a call without
+        the mark has not waited, however short its budget is. Cost: a client that forgets the mark gets work
+        done that comes too late."""
         is_first_try = self.settings.clients_mark_retries and not is_retry
-        usual_budget = cls.usual_budget(budget)  # also learned from first tries
+        usual_budget = cls.usual_budget(
+            budget
+        )  # records the budget, so it is called for marked first tries too
         if self.settings.stage or is_first_try or budget >= usual_budget - STEP:
             return cls.aim
         return cls.aim - (cls.deadline - budget)
 
     def enqueue(self, call: Call) -> None:
+        """Inserts a call into the queue, which is ordered by utility, then by arrival."""
         call.queued = True
         insort(self.queue, call)
 
     def retry_after_advice(self) -> float:
-        """When a refused client should come back: by then the calls that fill W now have been answered. A
-        client that is told nothing comes back sooner, into the same crowd."""
+        """Returns the wait that a refused client is advised, in s; 0: no advice.
+
+        By then the calls that fill the concurrency limit now have been answered. A client without advice
+        comes back sooner, into the same overload."""
         if not self.settings.may_advise_wait:
             return 0.0
         return min(self.settings.max_wait_advice, max(STEP, ADVICE * self.admission.proc))
 
     def refuse(self, call: Call) -> None:
+        """Gives the final answer to a call that is not sent, or not sent again."""
         self.safety_rules.answer(call, self.retry_after_advice())
 
     def on_client_gone(self, event: Gone) -> None:
+        """Ends a call whose client left or whose time ran out."""
         call = self.safety_rules.calls.get(event.call)
         if call is None or call.ended:
             return
@@ -792,12 +821,14 @@
         self.cancel_attempts_in_flight(call)
 
     def cancel_attempts_in_flight(self, call: Call) -> None:
+        """Cancels what is still in flight for a call, where that is allowed and no answer is streaming."""
         if call.out and self.settings.may_cancel and not call.streaming:
             for attempt in call.attempts:
                 if attempt.status < 0:
                     self.actions.append(Cancel(call.id, attempt.number))
 
     def on_stream_started(self, event: StreamStarted) -> None:
+        """Stops counting an attempt against the concurrency limit when its answer starts to stream."""
         attempt = self.attempts_in_flight.get((event.call, event.attempt))
         if attempt is not None:
             attempt.call.streaming = True
@@ -806,6 +837,7 @@
                 self.counted_in_flight -= 1
 
     def on_outcome(self, event: Outcome) -> None:
+        """Records how an attempt ended, then retries or answers its call if no other attempt is pending."""
         attempt = self.attempts_in_flight.pop((event.call, event.attempt), None)
         if attempt is None:
             return
@@ -835,24 +867,32 @@
         if call.out or call.queued:
             return
         remaining = call.useful_until - now
-        # What never ran has multiplied no work; in an inner tier giving it up wastes the work above.
+        # An attempt that never ran has multiplied no work, so a retry after it costs less. Giving the call up
+        # in an inner tier would waste the work of the tiers above.
         token_cost = RETRY_UNSEEN if status in NEVER_RAN else 1.0
-        if self.safety_rules.may_repeat(call) and remaining > cls.mean.value and self.retry_tokens >= token_cost:
+        if (
+            self.safety_rules.may_repeat(call)
+            and remaining > cls.mean.value
+            and self.retry_tokens >= token_cost
+        ):
             self.retry_tokens -= token_cost
             self.enqueue(call)
         else:
             self.refuse(call)
 
     def record_outcome(self, attempt: Attempt, status: int, elapsed: float, in_flight_before: int) -> None:
-        """What an outcome says of procQ, W and the server."""
+        """Updates the latency estimate, the concurrency limit and the server's statistics.
+
+        `elapsed`: s that the attempt took. `in_flight_before`: attempts that counted against the concurrency
+        limit when this one ended, itself included."""
         cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
         now = self.now
         if status in (Status.CANCELLED, Status.MOOT):
             return
         if self.resumed_after_stall and status in (Status.OK, Status.TIMEOUT):
-            # The instance stood still: what looks slow or overdue was answered long ago. Guards against
-            # reading one's own pause as slow servers, closing W and ejecting them. Harm: what was slow
-            # meanwhile is learned a turn later.
+            # This process was paused: what looks slow or overdue was answered long ago. Otherwise it would
+            # take its own pause for slow servers, lower the concurrency limit and eject them. Cost: answers
+            # that were slow in the meantime are noticed one batch later.
             if status == Status.OK:
                 server.last_ok = now
                 servers.heard(server, now)
@@ -861,7 +901,9 @@
             return
         elapsed = max(elapsed, LEAST_LATENCY)
         ok = status == Status.OK
-        fails_more_than_pool = servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
+        fails_more_than_pool = (
+            servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
+        )
         if ok or status in (Status.ERROR, Status.FULL):
             servers.heard(server, now)
             servers.learn_failing(server, cls, not ok, now)
@@ -872,27 +914,28 @@
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
             cls.took(elapsed)
-        # An error tells nothing of how much the servers can hold: most come from a tier below, for a reset or
-        # a refusal there. Counted as a bad sign, one call failing in eight kept W shut on sound servers.
+        # An error says nothing about how many calls the servers can hold: most errors come from a tier below,
+        # after a reset or a refusal there. When errors counted as overload, one failed call in eight kept the
+        # concurrency limit at a minimum although the servers were healthy.
         if ok and elapsed <= cls.target:
             admission.good(in_flight_before)
         elif status == Status.FULL and fails_more_than_pool:
-            pass  # this server's own fault too
+            pass  # also a fault of this server alone, no overload
         elif connection_broken and attempt.late and not attempt.lost:
-            admission.window += admission.step()  # a broken connection, not a crowd, kept it so long
+            admission.window += admission.step()  # undo its decrease: the connection broke, no overload
         elif status == Status.TIMEOUT and elapsed < cls.target:
-            pass  # it had less time than an answer may take
+            pass  # it had less time than an answer may take, so it shows no overload
         elif not attempt.late and attempt.counted and (ok or status in (Status.TIMEOUT, Status.FULL)):
             admission.bad()
-        # capacity: calls held against latency in units of the class's mean
+        # The server's capacity is estimated from its load and the latency, in multiples of the class's mean.
         relative_latency = elapsed / cls.mean.value
         if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
             total_latency = min(MOST_LATENCIES, relative_latency + (not ok))
             (servers.on_new if attempt.opened else servers.on_open).add(total_latency, OPEN_MEMORY)
         if not ok:
-            # A fast-failing server looks idle: a failure counts as a slow answer.
+            # A server that fails fast looks idle, so a failure counts as a slow answer.
             relative_latency = MOST_LATENCIES
-        # What was only the connection's fault tells nothing of its server's pace.
+        # A failure of the connection alone says nothing about the server's speed.
         if status not in (Status.FULL, Status.CONNECT_FAILED) and not only_connection_failed:
             relative_latency = min(relative_latency, MOST_LATENCIES)
             server.latency_sum = server.latency_sum * FORGET + relative_latency
@@ -915,12 +958,13 @@
             if not only_connection_failed:
                 self.eject(server, hard=True)
             elif status == Status.CONNECT_FAILED:
-                # It answers others of ours, so it has no room for a further connection: ejecting it would
-                # push its calls, and connections, onto the rest. Use what is open. One failure may be chance.
+                # The server answers other calls of this instance, so it has reached its connection limit.
+                # Ejecting it would move its calls and connections to the other servers: use the open ones
+                # only. A single failure may be chance.
                 server.unopened += 1
                 if server.unopened >= UNOPENED:
                     server.most_out, server.most_out_until = max(1, server.out), now + CONNECTIONS_FULL
-            failed = False  # nothing was answered: no sign of one that fails what it gets
+            failed = False  # without an answer there is no sign that the server fails its calls
         elif status == Status.TIMEOUT:
             servers.lost_idle(attempt, reset=False)
             server.slow_streak += 1
@@ -930,6 +974,10 @@
             self.eject(server, hard=False)
 
     def eject(self, server: Server, hard: bool) -> None:
+        """Ejects a server, so that its attempts no longer count against the concurrency limit.
+
+        `hard`: the evidence is definite (connections or probes failed), so the limit on the share of
+        ejected servers does not apply."""
         if not self.servers.eject(server, self.now, hard):
             return
         for attempt in self.attempts_in_flight.values():
@@ -939,6 +987,7 @@
         self.servers.fill_pool(self.now)
 
     def on_probe_result(self, event: Probed) -> None:
+        """Updates a server's load and health from a probe, which may end, prolong or cause an ejection."""
         server = self.servers.known.get(event.server)
         if server is None:
             return
@@ -953,7 +1002,7 @@
                 self.servers.fill_pool(self.now)
         elif event.status != Status.FULL:
             if event.status == Status.ERROR:
-                server.checked_at = -math.inf  # it answered, and drains or is ill
+                server.checked_at = -math.inf  # it answered, but is draining or unhealthy
             server.fail_streak += 1
             if server.ejected_until:
                 if event.status in (Status.CONNECT_FAILED, Status.ERROR):
@@ -963,14 +1012,17 @@
             elif server.fail_streak >= 2 and server.last_ok < self.now - self.servers.unit:
                 self.eject(server, hard=True)
 
-    # the control step
+    # Control step
     def control_step(self) -> None:
+        """Updates what depends on time: rates, quotas, token budgets, attempt ages, probes, the threshold."""
         now = self.now
         interval = now - self.last_step_at
         self.last_step_at = now
         admission, servers = self.admission, self.servers
         admission.observe_rate(self.arrivals_since_step, interval)
-        servers.send_rate += (self.sends_since_step / interval - servers.send_rate) * min(1.0, interval / MEMORY)
+        servers.send_rate += (self.sends_since_step / interval - servers.send_rate) * min(
+            1.0, interval / MEMORY
+        )
         self.arrivals_since_step = self.sends_since_step = 0
         for name, quota in self.quota_per_s.items():
             self.quota_tokens[name] = min(max(1.0, quota), self.quota_tokens[name] + quota * interval)
@@ -987,6 +1039,7 @@
         admission.set_cut()
 
     def start_watch_if_due(self) -> None:
+        """Starts a watch of discovery when none is active, or when the list is suspected to be stale."""
         if (not self.watch_active and self.now >= self.next_watch_at) or self.now >= self.recheck_list_at:
             self.watch_active = True
             self.last_watch_call_at = self.last_notified_at = self.now
@@ -994,16 +1047,18 @@
             self.actions.append(Watch(True))
 
     def suspect_stale_list(self) -> None:
-        """A listed server that goes on refusing contradicts the list, and nothing was told for a while: the
-        watch may be held by what no longer answers. A new one tells at once what was missed. Guards against
-        watches that hang or are lost unseen, and lists that are late. Harm: where servers crash, each
-        instance that sees it asks once more in DOUBT_SPACING, spread out."""
+        """Schedules a new watch because a listed server keeps failing its connections or probes.
+
+        This contradicts the list, and if no list came for a while, the active watch may be held by a
+        discovery process that no longer answers. A new watch returns all missed changes at once. This covers
+        watches that hang or are lost without notice, and late lists. Cost: where servers crash, each instance
+        that notices it makes one more call to discovery, spread over time and with a minimum interval."""
         if self.settings.ask_for_list and self.watch_active and math.isinf(self.recheck_list_at):
             earliest = max(self.now, self.last_notified_at + DOUBT_SPACING)
             self.recheck_list_at = earliest + self.random.random() * DOUBT_SPREAD
 
     def check_attempt_ages(self) -> None:
-        """A hung server finishes nothing: the calls that are out tell by their age."""
+        """Detects stuck attempts by their age, since a hung server never produces an outcome."""
         now = self.now
         total_age = counted_attempts = 0.0
         stuck_attempts: list[Attempt] = []
@@ -1029,27 +1084,35 @@
                 server.slow_streak += 1
                 if server.slow_streak >= 2 or server.trial:
                     self.eject(server, hard=False)
-            # Before its first answer an instance knows nothing of what lies below, and the further attempts
-            # of all that have just started multiply along a chain. Harm: first calls on a hung server stay.
+            # Before its first answer an instance does not know how long the tiers below take, and the hedges
+            # of instances that have all just started would multiply along a chain of tiers. Cost: the first
+            # calls on a hung server stay there until they are over the target latency.
             if latency_known or now - attempt.sent_at > cls.target:
                 self.hedge(attempt)
 
     def connection_seems_stalled(self, attempt: Attempt) -> bool:
-        """Whether its server has served what was sent after it, or reports fewer calls in hand than this
-        instance alone has out there; it is asked where its last report says nothing of this attempt."""
+        """Returns whether an attempt's server seems not to work on it, so that its connection has stalled.
+
+        This is so if the server has answered an attempt that was sent later, or reports fewer calls in
+        progress than this instance alone has in flight there. The server is probed if its last report is
+        too old to include this attempt."""
         server = attempt.server
         if attempt.lost or server.served_from > attempt.sent_at:
             return True
         report_is_recent = server.reported_at >= attempt.sent_at + REPORT_LAG
-        probe_due = not report_is_recent and not server.probe_out and self.now >= server.probed_at + REPORT_LAG
+        probe_due = (
+            not report_is_recent and not server.probe_out and self.now >= server.probed_at + REPORT_LAG
+        )
         if probe_due and self.settings.may_probe and server.state is ServerState.SERVING:
             self.send_probe(server)
         return report_is_recent and server.last_report + 0.5 < server.out - server.since
 
     def mark_connection_stalled(self, attempt: Attempt) -> None:
-        """Its server has long overtaken it: the connection went silent, and nothing is at
-        work on it. Guards against places of W held until the deadline, and procQ raised by waits that are no
-        work: both refused calls before idle servers. Harm: a long call's place is given away early."""
+        """Stops counting an attempt whose connection went silent: its server has long answered later ones.
+
+        Otherwise such attempts would count against the concurrency limit until their deadline, and their
+        waits, which are not work, would raise the latency estimate. Both made the instance refuse calls
+        although servers were idle. Cost: a call that only takes long stops counting too early."""
         if attempt.lost:
             return
         attempt.lost = True
@@ -1057,19 +1120,24 @@
             attempt.counted = False
             self.counted_in_flight -= 1
         if attempt.late:
-            self.admission.window += self.admission.step()  # it was no sign of a crowd
+            self.admission.window += self.admission.step()  # undo its decrease: it showed no overload
 
     def hedge(self, attempt: Attempt) -> None:
-        """A further attempt for a call that seems stuck, where its class allows it. Most such calls are
-        heavy: what was done goes on or is lost, and is done anew, at each tier below too. So it is paid for
-        by that work. Guards against heavy calls that crowd sound servers by being done twice. Harm: where
-        many connections go silent, some calls wait on them until their time is over."""
+        """Makes a further attempt for a call that seems stuck, where its class and the settings allow it.
+
+        Most such calls are heavy: the work done so far goes on or is lost, and it is repeated, at each tier
+        below too. So a hedge costs tokens in proportion to that work; otherwise heavy calls would overload
+        healthy servers by being executed twice. Cost: where many connections go silent, some calls wait on
+        them until their time is over."""
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.out > 1:
             return
         mean_latency = call.cls.mean.value
         remaining = call.useful_until - self.now
-        may_still_finish = remaining > max(RESCUE_LEFT * mean_latency, mean_latency + 2 * STEP) and not attempt.server.ejected_until
+        may_still_finish = (
+            remaining > max(RESCUE_LEFT * mean_latency, mean_latency + 2 * STEP)
+            and not attempt.server.ejected_until
+        )
         if may_still_finish or remaining < mean_latency or min(self.retry_tokens, self.hedge_tokens) < 1:
             return
         if call.cls.effect is not Effect.REPEATABLE or not self.safety_rules.may_repeat(call):
@@ -1083,12 +1151,20 @@
             self.actions.append(Cancel(call.id, attempt.number))
 
     def renew_health_leases(self) -> None:
-        """Paid for by the steady probes that come after, for these bring reports too."""
-        for server in self.health_leases.due(self.servers.pool, self.now, self.counted_in_flight + len(self.queue)):
+        """Sends the health checks that leases need.
+
+        They are paid for from the steady probes to come, since they return load reports too."""
+        for server in self.health_leases.due(
+            self.servers.pool, self.now, self.counted_in_flight + len(self.queue)
+        ):
             self.probe_tokens = max(-LEASE_DEBT, self.probe_tokens - 1)
             self.send_probe(server)
 
     def send_due_probes(self, interval: float) -> None:
+        """Sends health checks for leases, probes that may end ejections, and steady probes for load reports.
+
+        The steady rate follows the arrival rate, and the server with the oldest probe comes first. There are
+        none where calls have their own candidates probed. `interval`: s since the last control step."""
         if not self.settings.may_probe or not self.servers.pool:
             return
         now = self.now
@@ -1108,9 +1184,11 @@
             self.send_probe(self.random.choice([s for s in candidates if s.probed_at == oldest_probe_at]))
 
     def must_wait_for_probes(self, call: Call) -> bool:
-        """Where calls are so few that steady reports are older than a call's latency, and probes are cheap,
-        a call's candidates are asked before it is sent. Guards against picks on stale reports when many
-        instances share few calls."""
+        """Returns whether a call still has to wait for probes of its candidate servers.
+
+        The first time, it chooses the candidates and probes them. This is done only where calls are so rare
+        that the steady load reports are older than a call's latency, and where probes are cheap. Otherwise
+        servers would be picked by stale reports where many instances share few calls."""
         if call.asked is None:
             call.asked = []
             servers = self.servers
@@ -1132,20 +1210,22 @@
         return self.now < call.asked_until - 1e-9 and any(server.probe_out for server in call.asked)
 
     def send_probe(self, server: Server) -> None:
+        """Probes a server. A random shift of up to 1 ms varies the order of servers that are probed at once."""
         server.probe_out = True
         server.probed_at = self.now + self.random.random() * 1e-3
         self.actions.append(Probe(server.id))
 
-    # the queue
+    # Queue
     def dispatch(self) -> None:
+        """Sends queued calls in the order of their utility, up to the concurrency limit."""
         position = 0
         now = self.now
         queue, servers = self.queue, self.servers
         while position < len(queue) and self.counted_in_flight + 1 <= self.admission.window:
             call = queue[position]
             if self.counted_in_flight and call.useful_until - now < call.cls.mean.value and not call.out:
-                # It would most likely end too late: work for nothing. With nothing else out it is sent all
-                # the same, so that a mean that rose too far can fall again.
+                # The answer would most likely come too late, so the work would be wasted. With no other
+                # attempt in flight the call is sent anyway, so that an excessive mean latency can fall.
                 del queue[position]
                 call.queued = False
                 self.refuse(call)
@@ -1190,8 +1270,10 @@
             self.sends_since_step += 1
 
     def expire_calls_waiting_for_list(self) -> None:
-        """Nothing may be sent by the list that is held. What has waited for a part of its time, or would for
-        nothing, is answered: its client has time left to go elsewhere."""
+        """Answers queued calls that waited too long while no list is valid, so that nothing may be sent.
+
+        A call waits for a fixed share of its time, and not at all if no list can come within it. Its client
+        then has time left to go elsewhere."""
         earliest_list_at = self.now if self.watch_active else self.next_watch_at
         kept: list[Call] = []
         for call in self.queue:
@@ -1205,13 +1287,16 @@
         self.queue[:] = kept
 
     def retry_after_advice_without_list(self, earliest_list_at: float) -> float:
-        """When a refused client should come back: once a list may have come."""
+        """Returns the advised wait of a refused client, in s, until a list may have come; 0: no advice."""
         if not self.settings.may_advise_wait:
             return 0.0
         return min(self.settings.max_wait_advice, max(self.retry_after_advice(), earliest_list_at - self.now))
 
     def trim_queue(self) -> None:
-        """A held call's wait is about (place+1)*procQ/W and must fit what is left of its usefulness."""
+        """Answers queued calls that would be sent too late to be useful.
+
+        The wait at a position of the queue is about (position + 1) * latency estimate / concurrency limit,
+        and has to fit into the call's remaining useful time. The first call needs no such room."""
         if not self.queue:
             return
         now = self.now
@@ -1220,8 +1305,8 @@
         for call in self.queue:
             remaining = call.useful_until - now
             fits = not kept or (len(kept) + 1) * wait_per_call + TAIL * call.cls.mean.value <= remaining
-            # A call that asks its candidates goes out or comes back here before its deadline; one with less
-            # than a mean latency left would be work for nothing, most of all where servers are crowded.
+            # A call that waits for probes is sent, or checked here again, before its deadline. With less than
+            # a mean latency left it would be wasted work, above all on overloaded servers.
             awaiting_probes = now < call.asked_until - 1e-9 and remaining > call.cls.mean.value
             if fits and remaining > 0 and (awaiting_probes or call.deadline - now > ANSWER_MARGIN):
                 kept.append(call)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -280,7 +280,9 @@
     assert driver.balancer.remaining_latency_objective(kind, 1.2, False) == pytest.approx(1.0)
     assert driver.balancer.remaining_latency_objective(kind, 0.9, False) == pytest.approx(1.0 - (2.0 - 0.9))
     inner = Driver(settings(stage=1))
-    assert inner.balancer.remaining_latency_objective(inner.balancer.class_states["safe"], 0.3, False) == pytest.approx(1.0)
+    assert inner.balancer.remaining_latency_objective(
+        inner.balancer.class_states["safe"], 0.3, False
+    ) == pytest.approx(1.0)
 
 
 def test_a_pause_of_the_instance_is_no_wait_of_the_client_s() -> None:
