--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -604,11 +604,9 @@
 
 # -- balancer --------------------------------------------------------------------------------------------
 class Balancer:
-    """One instance of the proxy's decision logic: batches of events in, actions out.
+    """The decisions of one instance, from events to actions. All times are in seconds.
 
-    `handle` first processes all events of a batch, then queues or refuses the new calls, and then sends
-    queued calls in the order of their utility. All times are in seconds.
-    """
+    `handle` processes all events of a batch, then queues new calls, then sends by descending utility."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Creates an instance that holds no list yet. `seed` determines all its random choices."""
@@ -625,7 +623,7 @@
         self.queue: list[Call] = []
         self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}
         self.counted_in_flight = 0  # attempts that count against the concurrency limit
-        self.arrivals_since_step = self.sends_since_step = 0
+        self.arrivals_in_step = self.sends_in_step = 0
         self.retry_tokens = RETRY_BURST
         self.hedge_tokens = RESCUE_BURST
         self.probe_tokens = FIRST_PROBES
@@ -646,9 +644,7 @@
         self.recheck_list_at = math.inf  # when to replace an active watch; inf: no need
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Processes a batch of events and returns the resulting actions.
-
-        `now`: time of the batch, in s, on the same clock as the times in the events."""
+        """Processes a batch of events at `now`, on the clock of the events, and returns the actions."""
         self.now = now
         self.resumed_after_stall = 0 <= self.last_step_at < now - STALL
         self.actions.clear()
@@ -731,16 +727,14 @@
             self.admission.set_least(len(self.servers.known), self.settings.balancers)
 
     def on_arrival(self, event: Arrival, new_calls: list[Call]) -> None:
-        """Creates the call of a new request and appends it to `new_calls`.
-
-        Repeated ids are ignored; a request with an unknown class or an invalid budget is refused."""
+        """Appends the call of a request to `new_calls`; ignores known ids, refuses invalid requests."""
         if event.call in self.safety_rules.calls or event.call in self.safety_rules.over:
             return
         cls = self.class_states.get(event.cls)
         if cls is None or not 0 < event.budget < math.inf:
             self.safety_rules.turn_away(event.call)
             return
-        self.arrivals_since_step += 1
+        self.arrivals_in_step += 1
         now = self.now
         utility = cls.worth
         if self.settings.worth_by_work and event.work > 0:
@@ -775,14 +769,12 @@
     def remaining_latency_objective(self, cls: Kind, budget: float, is_retry: bool) -> float:
         """Returns how much of the latency objective of a call's class is left, in s.
 
-        `budget`: s that the client stated for this try. In an inner tier it is the useful time that the
-        caller's instance had left, so the objective applies in full. In the first tier, a budget below the
-        usual one means that the client's total time is running out: the difference between the class's
-        deadline and the budget is what the client has waited over its earlier tries. This prevents work for
-        answers that come too late. The usual budget is the median, not the maximum, since a few unusually
-        long budgets would make every first try look late. Where clients mark their retries, a call without
-        the mark has not waited, however short its budget is. Cost: a client that forgets the mark gets work
-        done that comes too late."""
+        In an inner tier the stated `budget` (s) is the useful time that the caller's instance had left, so
+        the objective applies in full. In the first tier, a budget below the usual one means that the client's
+        total time is running out, and tells how long it has waited over its earlier tries. This prevents work
+        for answers that come too late. The usual budget is the median, not the maximum, since a few odd
+        budgets would make every first try look late. Where clients mark their retries, a call without the
+        mark has not waited. Cost: a client that forgets the mark gets work that comes too late."""
         is_first_try = self.settings.clients_mark_retries and not is_retry
         # This also records the budget, so it is called for marked first tries too.
         usual_budget = cls.usual_budget(budget)
@@ -868,13 +860,9 @@
         remaining = call.useful_until - now
         # An attempt that never ran has multiplied no work, so a retry after it costs less. Giving the call up
         # in an inner tier would waste the work of the tiers above.
-        token_cost = RETRY_UNSEEN if status in NEVER_RAN else 1.0
-        if (
-            self.safety_rules.may_repeat(call)
-            and remaining > cls.mean.value
-            and self.retry_tokens >= token_cost
-        ):
-            self.retry_tokens -= token_cost
+        cost = RETRY_UNSEEN if status in NEVER_RAN else 1.0
+        if self.safety_rules.may_repeat(call) and remaining > cls.mean.value and self.retry_tokens >= cost:
+            self.retry_tokens -= cost
             self.enqueue(call)
         else:
             self.refuse(call)
@@ -882,8 +870,7 @@
     def record_outcome(self, attempt: Attempt, status: int, elapsed: float, in_flight_before: int) -> None:
         """Updates the latency estimate, the concurrency limit and the server's statistics.
 
-        `elapsed`: s that the attempt took. `in_flight_before`: attempts that counted against the concurrency
-        limit until this one ended."""
+        `elapsed` is in s; `in_flight_before` counts attempts against the limit before this one ended."""
         cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
         now = self.now
         if status in (Status.CANCELLED, Status.MOOT):
@@ -900,9 +887,7 @@
             return
         elapsed = max(elapsed, LEAST_LATENCY)
         ok = status == Status.OK
-        fails_more_than_pool = (
-            servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
-        )
+        server_at_fault = servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
         if ok or status in (Status.ERROR, Status.FULL):
             servers.heard(server, now)
             servers.learn_failing(server, cls, not ok, now)
@@ -918,7 +903,7 @@
         # concurrency limit low although the servers were healthy.
         if ok and elapsed <= cls.target:
             admission.good(in_flight_before)
-        elif status == Status.FULL and fails_more_than_pool:
+        elif status == Status.FULL and server_at_fault:
             pass  # a fault of this server alone, no overload
         elif connection_broken and attempt.late and not attempt.lost:
             admission.window += admission.step()  # its age lowered the limit, but the connection was at fault
@@ -973,10 +958,9 @@
             self.eject(server, hard=False)
 
     def eject(self, server: Server, hard: bool) -> None:
-        """Ejects a server, so that its attempts no longer count against the concurrency limit.
+        """Ejects a server; its attempts no longer count against the concurrency limit.
 
-        `hard`: the evidence is definite (connections or probes failed), so the limit on the share of
-        ejected servers does not apply."""
+        `hard`: failed connections or probes, to which the limit on ejected servers does not apply."""
         if not self.servers.eject(server, self.now, hard):
             return
         for attempt in self.attempts_in_flight.values():
@@ -1018,11 +1002,9 @@
         interval = now - self.last_step_at
         self.last_step_at = now
         admission, servers = self.admission, self.servers
-        admission.observe_rate(self.arrivals_since_step, interval)
-        servers.send_rate += (self.sends_since_step / interval - servers.send_rate) * min(
-            1.0, interval / MEMORY
-        )
-        self.arrivals_since_step = self.sends_since_step = 0
+        admission.observe_rate(self.arrivals_in_step, interval)
+        servers.send_rate += (self.sends_in_step / interval - servers.send_rate) * min(1.0, interval / MEMORY)
+        self.arrivals_in_step = self.sends_in_step = 0
         for name, quota in self.quota_per_s.items():
             self.quota_tokens[name] = min(max(1.0, quota), self.quota_tokens[name] + quota * interval)
         for cls in self.class_states.values():
@@ -1048,10 +1030,9 @@
     def suspect_stale_list(self) -> None:
         """Schedules a new watch because a server that is ejected, but still listed, fails its probes.
 
-        This contradicts the list, and if no list came for a while, the active watch may be held by a
-        discovery process that no longer answers. A new watch returns all missed changes at once. This covers
-        watches that hang or are lost without notice, and late lists. Cost: where servers crash, each instance
-        that notices it makes one more call to discovery, spread over time and with a minimum interval."""
+        If no list came for a while, the active watch may have hung or been lost unnoticed, or the list is
+        late; a new watch returns at once what was missed. Cost: where servers crash, each instance that sees
+        it makes one more call to discovery, spread over time and with a minimum interval."""
         if self.settings.ask_for_list and self.watch_active and math.isinf(self.recheck_list_at):
             earliest = max(self.now, self.last_notified_at + DOUBT_SPACING)
             self.recheck_list_at = earliest + self.random.random() * DOUBT_SPREAD
@@ -1092,19 +1073,16 @@
     def connection_seems_stalled(self, attempt: Attempt) -> bool:
         """Returns whether an attempt's server seems not to work on it, so that its connection has stalled.
 
-        This is so if the server has answered an attempt that was sent later, or reports fewer calls in
-        progress than this instance alone has in flight there. The server is probed if its last report is
-        too old to include this attempt."""
+        It has answered a later attempt, or reports fewer calls than this instance alone has in flight there.
+        It is probed if its last report is too old to include this attempt."""
         server = attempt.server
         if attempt.lost or server.served_from > attempt.sent_at:
             return True
-        report_is_recent = server.reported_at >= attempt.sent_at + REPORT_LAG
-        probe_due = (
-            not report_is_recent and not server.probe_out and self.now >= server.probed_at + REPORT_LAG
-        )
+        recent_report = server.reported_at >= attempt.sent_at + REPORT_LAG
+        probe_due = not recent_report and not server.probe_out and self.now >= server.probed_at + REPORT_LAG
         if probe_due and self.settings.may_probe and server.state is ServerState.SERVING:
             self.send_probe(server)
-        return report_is_recent and server.last_report + 0.5 < server.out - server.since
+        return recent_report and server.last_report + 0.5 < server.out - server.since
 
     def mark_connection_stalled(self, attempt: Attempt) -> None:
         """Stops counting an attempt whose connection went silent: its server does not work on it.
@@ -1131,18 +1109,15 @@
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.out > 1:
             return
-        mean_latency = call.cls.mean.value
+        mean = call.cls.mean.value
         remaining = call.useful_until - self.now
-        may_still_finish = (
-            remaining > max(RESCUE_LEFT * mean_latency, mean_latency + 2 * STEP)
-            and not attempt.server.ejected_until
-        )
-        if may_still_finish or remaining < mean_latency or min(self.retry_tokens, self.hedge_tokens) < 1:
+        may_finish = remaining > max(RESCUE_LEFT * mean, mean + 2 * STEP) and not attempt.server.ejected_until
+        if may_finish or remaining < mean or min(self.retry_tokens, self.hedge_tokens) < 1:
             return
         if call.cls.effect is not Effect.REPEATABLE or not self.safety_rules.may_repeat(call):
             return
         attempt.rescued = True
-        self.hedge_tokens -= min(RESCUE_MOST, (self.now - attempt.sent_at) / max(mean_latency, LEAST_LATENCY))
+        self.hedge_tokens -= min(RESCUE_MOST, (self.now - attempt.sent_at) / max(mean, LEAST_LATENCY))
         if self.settings.may_duplicate:
             self.retry_tokens -= 1
             self.enqueue(call)
@@ -1150,9 +1125,7 @@
             self.actions.append(Cancel(call.id, attempt.number))
 
     def renew_health_leases(self) -> None:
-        """Sends the health checks that leases need.
-
-        They are paid for from the steady probes to come, since they return load reports too."""
+        """Sends due health checks, charged to later steady probes, since they bring load reports too."""
         for server in self.health_leases.due(
             self.servers.pool, self.now, self.counted_in_flight + len(self.queue)
         ):
@@ -1162,8 +1135,7 @@
     def send_due_probes(self, interval: float) -> None:
         """Sends health checks for leases, probes that may end ejections, and steady probes for load reports.
 
-        The steady rate follows the arrival rate, and the server with the oldest probe comes first. There are
-        none where calls have their own candidates probed. `interval`: s since the last control step."""
+        Steady probes stop where calls probe their candidates. `interval`: s since the last control step."""
         if not self.settings.may_probe or not self.servers.pool:
             return
         now = self.now
@@ -1185,9 +1157,9 @@
     def must_wait_for_probes(self, call: Call) -> bool:
         """Returns whether a call still has to wait for probes of its candidate servers.
 
-        The first time, it chooses the candidates and probes them. This is done only where calls are so rare
-        that the steady load reports are older than a call's latency, and where probes are cheap. Otherwise
-        servers would be picked by stale reports where many instances share few calls."""
+        The first time, it chooses and probes them: only where probes are cheap and calls so few that steady
+        reports are older than a call's latency. This avoids picks by stale reports where many instances share
+        few calls."""
         if call.asked is None:
             call.asked = []
             servers = self.servers
@@ -1266,13 +1238,13 @@
             if servers.ramp(server, now) < 1:
                 server.tokens -= 1
             self.counted_in_flight += 1
-            self.sends_since_step += 1
+            self.sends_in_step += 1
 
     def expire_calls_waiting_for_list(self) -> None:
         """Answers queued calls that waited too long while no list is valid, so that nothing may be sent.
 
-        A call waits for a fixed share of its time, and not at all if no list can come within it. Its client
-        then has time left to go elsewhere."""
+        A call is refused after a share of its time, or at once if no list can come within it, so that its
+        client has time left to go elsewhere."""
         earliest_list_at = self.now if self.watch_active else self.next_watch_at
         kept: list[Call] = []
         for call in self.queue:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -660,7 +660,7 @@
 
 
 def test_a_late_call_with_a_broken_connection_is_no_sign_of_overload() -> None:
-    """Seen on a short day with zone failures: healthy servers' connections were reset after up to 0.8 s."""
+    """Seen on a short zone day: connections of healthy servers were reset up to 0.8 s after the request."""
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
