--- a/granitepoint/__main__.py
+++ b/granitepoint/__main__.py
@@ -13,7 +13,7 @@
 
 from granitepoint.net import logs
 from granitepoint.net.config import Config, ConfigError, load, reread_discovery
-from granitepoint.net.driver import NO_ROOM_ADVICE, Driver
+from granitepoint.net.driver import AT_CAPACITY_RETRY_AFTER, Driver
 from granitepoint.net.server import Server
 
 log = logs.Events("granitepoint.main")
@@ -34,11 +34,11 @@
     its own, those that ask nothing close, and the process ends when nothing is owed any more."""
     longest = max(cls.deadline for cls in driver.settings.classes)
     answered_by = min(longest, LONGEST_WAIT) + KILL_SPARE - SPARE
-    driver.end_by = time.monotonic() + answered_by
+    driver.shutdown_deadline = time.monotonic() + answered_by
     log.info("sigterm", connections=len(server.connections), calls=len(driver.calls))
     await asyncio.sleep(LAST_ACCEPT)
-    await server.take_last(driver.end_by)
-    await asyncio.sleep(driver.end_by - WIND_DOWN - time.monotonic())
+    await server.take_last(driver.shutdown_deadline)
+    await asyncio.sleep(driver.shutdown_deadline - WIND_DOWN - time.monotonic())
     log.info("winding_down", connections=len(server.connections), calls=len(driver.calls))
     server.draining = True
     rest_by = time.monotonic() + REST
@@ -72,7 +72,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, term.set)
     driver = Driver(config)
-    advice = driver.advice(NO_ROOM_ADVICE)
+    advice = driver.retry_after_headers(AT_CAPACITY_RETRY_AFTER)
     server = Server(driver.effects, driver, config.sockets, config.memory_mb, advice)
     loop.add_signal_handler(signal.SIGHUP, reload, driver)  # before it is ready, and for good
     driver.start()
@@ -84,7 +84,7 @@
     gc.set_threshold(50_000, 20, 50)
     await term.wait()
     await drain(server, driver)
-    driver.write_figures()
+    driver.log_statistics()
     driver.stop()
 
 
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -63,10 +63,10 @@
 
 def _class(cls: RequestClass, settings: Settings) -> Section:
     kind = admission.Kind(cls, settings.stage)
-    answered = max(0.0, cls.deadline - driver.LEAST_MARGIN)
-    held = max(0.0, answered - driver.MODULE_MARGIN - logic.ANSWER_MARGIN)
+    answered = max(0.0, cls.deadline - driver.MIN_ANSWER_MARGIN)
+    held = max(0.0, answered - driver.BALANCER_MARGIN - logic.ANSWER_MARGIN)
     always = cls.effect is Effect.REPEATABLE or (cls.effect is Effect.BY_KEY and cls.group == "all")
-    earlier = driver.MOST_MARGIN - driver.LEAST_MARGIN
+    earlier = driver.MAX_ANSWER_MARGIN - driver.MIN_ANSWER_MARGIN
     busy = f"at the latest; up to {earlier:g} s earlier when busy"
     entries = [
         Entry("worth", cls.worth, "points", "under overload the least worth is refused first"),
@@ -134,7 +134,7 @@
         Entry("least", logic.PROBES_LEAST, PER_SECOND, "also when idle"),
         Entry("for one call", logic.ASK if balancer.asks else 0, "servers", "asked before it; 0: too dear"),
         Entry("timeout", driver.PROBE_TIMEOUT, SECONDS, "after which a probe has failed"),
-        Entry("at once", driver.MOST_PROBES, "probes", "at most"),
+        Entry("at once", driver.MAX_CONCURRENT_PROBES, "probes", "at most"),
     ])  # fmt: skip
 
 
@@ -154,10 +154,10 @@
             Entry("doubted", logic.DOUBT_SPACING, SECONDS, "without news, while a listed server refuses"),
         ]
     else:
-        entries.append(Entry("asked again", discovery.PUSH_PAUSE, SECONDS, "after a watch that ended"))
+        entries.append(Entry("asked again", discovery.PUSH_RETRY_DELAY, SECONDS, "after a watch that ended"))
     entries += [
         Entry("held", discovery.HOLD_MS / 1000, SECONDS, "a watch that discovery may hold open"),
-        Entry("renewed", discovery.RENEW, SECONDS, "a watch that said nothing, beside the one before"),
+        Entry("renewed", discovery.RENEW_AFTER, SECONDS, "a watch that said nothing, beside the one before"),
         Entry("must ask in", settings.must_ask_within, SECONDS, "else lists count as told that were not"),
     ]
     return Section("discovery", entries)
@@ -168,14 +168,14 @@
     handler: Any = None
     callers = server.Server({}, handler, config.sockets, config.memory_mb)
     settings = config.settings
-    most = int(config.sockets * upstream.UPSTREAM_SHARE)
+    most = int(config.sockets * upstream.UPSTREAM_DESCRIPTOR_SHARE)
     servers = upstream.Upstreams(settings.connect_timeout, settings.conn_idle, most)
     reserve = min(server.RESERVE, config.sockets // 10)
     extra = callers.most_ever - callers.most_open
     long_kb = server.LONG_BODY // 1024
     return Section("connections and memory", [
         Entry("descriptors", config.sockets, "descriptors", "that the process may hold"),
-        Entry("to servers", servers.most_open, "descriptors", "at most"),
+        Entry("to servers", servers.max_connections, "descriptors", "at most"),
         Entry("reserve", reserve, "descriptors", "for the listener, discovery, the loop and the log"),
         Entry("from callers", callers.most_open, "descriptors", f"then {extra} that are told of no room"),
         Entry("memory", config.memory_mb, "MB", f"of these {server.BASE_MEMORY} before it serves"),
@@ -183,7 +183,7 @@
         Entry("long requests", callers.most_long, "requests", f"beyond {long_kb} KB, held at once"),
         Entry("request", server.MOST_BODY // 1024, "KB", "largest body; an answer's too"),
         Entry("connect", settings.connect_timeout, SECONDS, "after which the server was not reached"),
-        Entry("idle", servers.idle_for, SECONDS, "after which a server's connection is closed from here"),
+        Entry("idle", servers.idle_timeout, SECONDS, "after which a server's connection is closed from here"),
     ])  # fmt: skip
 
 
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -133,7 +133,7 @@
 
     def __init__(self, service: Service) -> None:
         self.service = service
-        self.asked = False
+        self.request_sent = False
         self.watched: tuple[Any, float] = (None, -math.inf)  # the address of the last watch, and its answer
 
     def close(self) -> None:
@@ -141,7 +141,7 @@
 
     async def get(self, at: Any, target: str, timeout: float) -> tuple[int, bytes]:
         loop = asyncio.get_running_loop()
-        self.asked = True
+        self.request_sent = True
         query = parse_qs(target.partition("?")[2])
         since = int(query["from"][0]) if "from" in query else None
         hold = float(query.get("hold_ms", ["0"])[0]) / 1000
@@ -165,7 +165,7 @@
     asked_at: float | None = None
     unusable_since: float | None = None
     balancer: Balancer = field(init=False)
-    discovery: net.Discovery = field(init=False)
+    discovery: net.DiscoveryClient = field(init=False)
 
     def start(self) -> None:
         """A new process, with the list of the beginning."""
@@ -177,7 +177,7 @@
         )  # fmt: skip
         self.seed += 1
         self.balancer = Balancer(settings, self.seed)
-        self.discovery = net.Discovery(
+        self.discovery = net.DiscoveryClient(
             FIRST, 0, self._on_list, self._on_failed, Random(self.seed), on_evidence=self._feed,
             instances=self.instances,
         )  # fmt: skip
@@ -193,14 +193,14 @@
         if self.asked_at is not None:
             self.waits.append(asyncio.get_running_loop().time() - self.asked_at)
             self.asked_at = None
-        kind = api.ListKind.FULL if told.whole else api.ListKind.INCREMENTAL
+        kind = api.ListKind.FULL if told.full else api.ListKind.INCREMENTAL
         entries = [listed.entry for listed in told.backends]
         self._feed(
-            api.ServerList(kind, entries, told.version, told.written_after, told.ends_watch, turn=told.turn)
+            api.ServerList(kind, entries, told.version, told.written_after, told.ends_watch, turn=told.queue_time)
         )
 
     def _on_failed(self) -> None:
-        self._feed(api.ServerList(api.ListKind.FAILED, failure=self.discovery.failure))
+        self._feed(api.ServerList(api.ListKind.FAILED, failure=self.discovery.last_failure))
 
     def _feed(self, event: api.Event) -> None:
         for action in self.balancer.handle(asyncio.get_running_loop().time(), [event]):
@@ -334,10 +334,10 @@
 
 def _restart(instance: Instance) -> None:
     """A new process asks the address of its own file, which by now is the new one where there is one."""
-    at = instance.discovery.at
+    at = instance.discovery.address
     instance.discovery.stop()
     instance.start()
-    instance.discovery.at = at
+    instance.discovery.address = at
 
 
 def main() -> None:
--- a/granitepoint/fleet/proxies.py
+++ b/granitepoint/fleet/proxies.py
@@ -19,7 +19,7 @@
 from granitepoint.net.listener import Listener
 from granitepoint.net.listing import Listing
 from granitepoint.net.server import ClientConnection, Reply, Request, Server
-from granitepoint.net.upstream import PROVE, SETTLE, Exchange
+from granitepoint.net.upstream import LAST_BYTE_DELAY, REUSE_DELAY, Exchange
 
 # The stages of a call in the proxy, in order. `read`: from the first byte read until the request is taken.
 # `batch`: until the module is handed it. `pick`: until it is sent, held in the queue or not. `connect`: until
@@ -53,7 +53,7 @@
         for name, span in zip(STAGES, spent, strict=True):
             self.histograms[name].add(span)
         self.histograms["whole"].add(sum(spent))
-        self.settling += SETTLE / 2 < spent[3] < 3 * SETTLE
+        self.settling += REUSE_DELAY / 2 < spent[3] < 3 * REUSE_DELAY
 
 
 class TimedConnection(ClientConnection):
@@ -128,16 +128,16 @@
                 connection.abandon()
         self.upstreams.by_id.clear()
 
-    def _push(self, event: api.Event) -> None:
+    def _enqueue(self, event: api.Event) -> None:
         if not self.ended:
-            super()._push(event)
+            super()._enqueue(event)
 
-    def _figures_due(self) -> None:
+    def _on_statistics_due(self) -> None:
         if not self.ended:
-            super()._figures_due()
+            super()._on_statistics_due()
 
     def _on_list(self, listing: Listing) -> None:
-        self.whole_lists += listing.whole
+        self.whole_lists += listing.full
         self.entries += len(listing.backends)
         super()._on_list(listing)
         self.in_force.setdefault(listing.version, time.monotonic())
@@ -172,7 +172,7 @@
             return
         marks.sent = time.monotonic()
         super()._send(action)
-        exchange = self.out.get(action.call)
+        exchange = self.in_flight.get(action.call)
         if exchange is None or self.calls[action.call].attempts > 1:
             self.marks.pop(action.call, None)  # what goes out twice is not one of the stages' calls
         elif exchange.connection is not None:
@@ -193,7 +193,7 @@
 
     def _connected(self, exchange: Exchange, marks: Marks) -> None:
         marks.connected = time.monotonic()
-        self.loop.call_later(PROVE, self._proved, exchange, marks)
+        self.loop.call_later(LAST_BYTE_DELAY, self._proved, exchange, marks)
 
     def _proved(self, exchange: Exchange, marks: Marks) -> None:
         if exchange.sent:
@@ -202,7 +202,7 @@
             self.loop.call_soon(self._proved, exchange, marks)
 
     def _watch_end(self, exchange: Exchange, number: int) -> None:
-        done = exchange.done
+        done = exchange.on_done
 
         def ended(exchange: Exchange) -> None:
             answered = time.monotonic()
@@ -211,10 +211,10 @@
             if marks is not None and marks.proved and exchange.status is api.Status.OK and self.stages:
                 self.stages.note(marks, answered, time.monotonic())
 
-        exchange.done = ended
+        exchange.on_done = ended
 
-    def _settle(self, call: OpenCall) -> None:
-        super()._settle(call)
+    def _remove_call(self, call: OpenCall) -> None:
+        super()._remove_call(call)
         if call.exchange is None and call.number in self.marks and not call.attempts:
             del self.marks[call.number]  # refused or left before it was sent
 
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -87,8 +87,8 @@
     for call in driver.calls.values():
         if call.timer is not None:
             call.timer.cancel()
-    if driver.flush_at is not None:
-        driver.flush_at.cancel()
+    if driver.flush_handle is not None:
+        driver.flush_handle.cancel()
 
 
 async def of_remembered(count: int) -> int:
--- a/granitepoint/modelcheck/proxy.py
+++ b/granitepoint/modelcheck/proxy.py
@@ -198,7 +198,7 @@
 
     pushed = False
     version = 0
-    failure = Failure.SILENT
+    last_failure = Failure.SILENT
 
     def watch(self, on: bool) -> None:
         pass
@@ -253,7 +253,7 @@
             self.driver = driver.Driver(config)
             self.driver.discovery = Discovery()  # type: ignore[assignment]
             self.driver.balancer.list_lease.confirmed = True
-            advice = self.driver.advice(driver.NO_ROOM_ADVICE)
+            advice = self.driver.retry_after_headers(driver.AT_CAPACITY_RETRY_AFTER)
             self.server = server.Server(self.driver.effects, self.driver, sockets, 64.0, advice)
             self.driver.start()
             self.server._sweep_later()
@@ -462,7 +462,7 @@
         left = {
             "calls": len(self.driver.calls),
             # The process ends on attempts whose callers have left: nobody waits for these.
-            "ids beside those of attempts": len(self.driver.ids) - len(self.driver.out),
+            "ids beside those of attempts": len(self.driver.active_ids) - len(self.driver.in_flight),
             "connections of callers": sum(not each.leaving for each in self.server.connections),
         }
         if any(left.values()):
@@ -472,9 +472,9 @@
             in_use = held.exchange is not None or self.clock.now - held.idle_since < SOON
             if not (in_use or backend.link.closing or held in held.upstream.idle):
                 raise RuleBroken("kept", f"a connection to backend {backend.number} is of no use and open")
-        if self.driver.upstreams.made != len(self.backends):
+        if self.driver.upstreams.open_connections != len(self.backends):
             raise RuleBroken(
-                "kept", f"{self.driver.upstreams.made} connections counted, {len(self.backends)} open"
+                "kept", f"{self.driver.upstreams.open_connections} connections counted, {len(self.backends)} open"
             )
 
     def stop(self) -> None:
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -14,55 +14,57 @@
 from granitepoint.membership.backoff import Backoff
 from granitepoint.membership.evidence import AT_ONCE, Failure
 from granitepoint.membership.list_lease import CONTINUES, HOLD_TOLD, MOVE_TOLD
-from granitepoint.membership.list_lease import TOLD_AFTER as SILENT_TOLD
+from granitepoint.membership.list_lease import TOLD_AFTER as SILENCE_NOTIFIED_AFTER
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.membership.version_history import VersionHistory
 from granitepoint.net.config import Address
-from granitepoint.net.discovery_channel import Channel, tell_failure
+from granitepoint.net.discovery_channel import Channel, classify_failure
 from granitepoint.net.listing import Listing, read_listing
 from granitepoint.net.logs import Events
 
 log = Events(__name__)
 
-RENEW = 18.0  # s after which a watch that has said nothing is asked anew: it may have fallen silent
+RENEW_AFTER = 18.0  # s after which a watch that has said nothing is asked anew: it may have fallen silent
 HOLD_MS = 25_000  # how long a watch may wait; what a silent one misses counts as told 2 s after that
 CONFIRM_HOLD_MS = 50  # the same until an answer confirms the list: until then nothing may be sent by it
-CONFIRM_WAIT = 3.2  # s after which such a call is silent: in turn and held it takes 2.5 s at most
-PATIENCE = 4.0  # s beyond a call's own wait after which it has failed: calls wait in turn
-LEAST_SPACING = 0.05  # s between two watches, should discovery answer each at once
-PUSH_PAUSE = 0.15  # s between tries to open a watch on pushed lists, which count as told at once
-PUSH_JITTER = 0.5  # share by which such a pause may be shorter: all that lost one service would ask in step
-HELD_UP = 0.15  # s that an answer may have been on its way, or this process held up, before it is read
-MOVE_AGAIN = 3.5  # s after which the first list is asked for once more: the call is silent, not in turn
-MOVE_TRIES = 15  # such tries, before the module is told that the call failed
-VERIFY_AFTER = 30.0  # s after a move at which a list that nothing could be compared with is asked for whole
+CONFIRM_TIMEOUT = 3.2  # s after which such a call is silent: in turn and held it takes 2.5 s at most
+CALL_TIMEOUT = 4.0  # s beyond a call's own wait after which it has failed: calls wait in turn
+MIN_CALL_SPACING = 0.05  # s between two watches, should discovery answer each at once
+PUSH_RETRY_DELAY = 0.15  # s between tries to open a watch on pushed lists, which count as told at once
+PUSH_RETRY_JITTER = (
+    0.5  # share by which such a pause may be shorter: all that lost one service would ask in step
+)
+MAX_READ_DELAY = 0.15  # s that an answer may have been on its way, or this process held up, before it is read
+MOVE_RETRY_AFTER = 3.5  # s after which the first list is asked for once more: the call is silent, not in turn
+MAX_MOVE_TRIES = 15  # such tries, before the module is told that the call failed
+VERIFY_DELAY = 30.0  # s after a move at which a list that nothing could be compared with is asked for whole
 VERIFY_SPREAD = 90.0  # s over which the proxies do so
-EARLIER = 0.15  # share by which RENEW and MOVE_AGAIN may be shorter, so that none ask in step
+TIMEOUT_JITTER = 0.15  # share by which RENEW and MOVE_AGAIN may be shorter, so that none ask in step
 
 Evidence = WatchLost | WatchOpened | DiscoveryFailed
 
 
 @dataclass(slots=True)
-class Ask:
+class DiscoveryCall:
     """One call: when it was begun (monotonic), for how long discovery may hold it, and whether it goes on
     with a watch that had just been answered."""
 
-    begun: float
+    started_at: float
     hold: float = 0.0
     continued: bool = False
-    free: bool = False  # the answer before it had not waited in turn
-    since: int | None = None  # the version from which changes were asked for; None: the whole list
-    watch: bool = True  # one of a watch's calls, not a list asked for beside it
+    previous_unqueued: bool = False  # the answer before it had not waited in turn
+    since_version: int | None = None  # the version from which changes were asked for; None: the whole list
+    is_watch: bool = True  # one of a watch's calls, not a list asked for beside it
 
 
-class Discovery:
+class DiscoveryClient:
     """Asks as the module says, and hands on each list, or that a call failed. Asks nothing by itself, but
     for the next call of a watch that goes on, and where lists are pushed: there the module never asks, and
     a watch that ends is opened again at once."""
 
     def __init__(
         self,
-        at: Address,
+        address: Address,
         version: int,
         on_list: Callable[[Listing], None],
         on_failed: Callable[[], None],
@@ -70,219 +72,243 @@
         pushed: bool = False,
         on_evidence: Callable[[Evidence], None] = lambda evidence: None,
         instances: int = 1,
-        starts: StartTimes | None = None,
+        start_times: StartTimes | None = None,
     ) -> None:
-        self.at, self.random, self.pushed = at, random, pushed
+        self.address, self.random, self.pushed = address, random, pushed
         self.version: int | None = version  # None: the whole list is to be asked for
         self.history = VersionHistory(version)
-        self.starts = starts or StartTimes()
+        self.start_times = start_times or StartTimes()
         self.moving = False  # to another address, of which no list has come yet
         self.on_list, self.on_failed = on_list, on_failed
         self.on_evidence = on_evidence  # told of all that bears on how long the list may be used
         # Of the calls that are made again from here, on a watch or at a new address.
         self.backoff = Backoff(random, instances=instances, place=random.random())
-        self.failure = Failure.SILENT  # how the last call that failed did so
-        self.answered_at = -math.inf  # monotonic, of the last answer with a list
-        self.answered_free = False  # it had not waited in turn
-        self.newest: Ask | None = None  # the last call of a watch
+        self.last_failure = Failure.SILENT  # how the last call that failed did so
+        self.last_answer_at = -math.inf  # monotonic, of the last answer with a list
+        self.last_answer_unqueued = False  # it had not waited in turn
+        self.newest_call: DiscoveryCall | None = None  # the last call of a watch
         self.confirmed = False  # a list has come since the watch was lost
-        self.lists = 0  # taken so far
-        self._watch: asyncio.Task[None] | None = None
-        self._asks: dict[asyncio.Task[bool], Channel] = {}  # of the watch, the one before still among them
-        self._fetches: set[asyncio.Task[None]] = set()
-        self._verification: asyncio.Task[None] | None = None
+        self.lists_received = 0  # taken so far
+        self._watch_task: asyncio.Task[None] | None = None
+        self._watch_calls: dict[
+            asyncio.Task[bool], Channel
+        ] = {}  # of the watch, the one before still among them
+        self._fetch_tasks: set[asyncio.Task[None]] = set()
+        self._verification_task: asyncio.Task[None] | None = None
 
     def watch(self, on: bool) -> None:
         """A call that is out stays beside the new one: discovery may be writing its answer, which counts as
         told, or may soon come to it, and the new one waits its turn anew. A watch that has no list of its
         address yet goes on as it is: it asks again by itself, and begun anew it would ask twice."""
-        if on and self.moving and self._watch is not None and not self._watch.done():
+        if on and self.moving and self._watch_task is not None and not self._watch_task.done():
             return
         self.confirmed = False  # asked anew: until the answer comes it is no watch that goes on
-        if self._watch is not None:
-            self._watch.cancel()
-            self._watch = None
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+            self._watch_task = None
         if not on:
-            self._end_asks()
+            self._close_watch_calls()
         else:
-            self._watch = asyncio.get_running_loop().create_task(self._watching())
+            self._watch_task = asyncio.get_running_loop().create_task(self._run_watch())
 
-    def move(self, at: Address) -> None:
+    def move(self, address: Address) -> None:
         """Another address of discovery from now on. What the old one may still say is not heard. The new one
         is asked at once for what has changed: all proxies move together, and whole lists for all of them
         would take longer than the time in which changes count as told."""
         self.stop()
-        self._lose(MOVE_TOLD, moved=True)
-        self.at, self.moving, self.version = at, True, self.history.version
-        self.answered_at = -math.inf  # the answer was the other address's
+        self._watch_lost(MOVE_TOLD, moved=True)
+        self.address, self.moving, self.version = address, True, self.history.version
+        self.last_answer_at = -math.inf  # the answer was the other address's
         self.watch(True)
 
-    def _lose(self, told_within: float = math.inf, moved: bool = False, silent: bool = False) -> None:
+    def _watch_lost(
+        self, notified_within: float = math.inf, moved: bool = False, silent: bool = False
+    ) -> None:
         self.confirmed = False
-        self.on_evidence(WatchLost(told_within, moved, silent))
+        self.on_evidence(WatchLost(notified_within, moved, silent))
 
     def fetch(self) -> None:
-        task = asyncio.get_running_loop().create_task(self._fetching())
-        self._fetches.add(task)
-        task.add_done_callback(self._fetches.discard)
+        task = asyncio.get_running_loop().create_task(self._run_fetch())
+        self._fetch_tasks.add(task)
+        task.add_done_callback(self._fetch_tasks.discard)
 
     def stop(self) -> None:
-        self._end_asks()
-        for task in (self._watch, self._verification, *self._fetches):
+        self._close_watch_calls()
+        for task in (self._watch_task, self._verification_task, *self._fetch_tasks):
             if task is not None:
                 task.cancel()
-        self._watch = self._verification = None
+        self._watch_task = self._verification_task = None
 
-    def _end_asks(self) -> None:
-        for ask in self._asks:
-            ask.cancel()
-        self._asks.clear()
+    def _close_watch_calls(self) -> None:
+        for call in self._watch_calls:
+            call.cancel()
+        self._watch_calls.clear()
 
-    async def _watching(self) -> None:
+    async def _run_watch(self) -> None:
         """Call after call. Silence looks like a list that does not change, so no watch is waited for longer
         than RENEW: the next call goes out beside it, early enough to be tried again before what a silent one
         missed counts as told. The one before stays until it ends, for it may be the one that is told."""
         loop = asyncio.get_running_loop()
-        asks = self._asks
+        calls = self._watch_calls
         channel, tries = Channel(), 0
         try:
             while True:
-                begun, first = loop.time(), self.moving
+                started_at, was_moving = loop.time(), self.moving
                 hold = (HOLD_MS if self.confirmed else CONFIRM_HOLD_MS) / 1000
-                silent_after = MOVE_AGAIN if first else RENEW if self.confirmed else CONFIRM_WAIT
-                continued = time.monotonic() - self.answered_at <= CONTINUES
-                ask = Ask(time.monotonic(), hold, continued, self.answered_free, self._since())
-                self.newest = ask
-                if not first:
-                    self.on_evidence(WatchOpened(ask.begun, hold))
-                newest = loop.create_task(self._ask(channel, hold + PATIENCE, ask))
-                asks[newest] = channel
-                await asyncio.wait([newest], timeout=self._sooner(silent_after, EARLIER))
-                for older in [older for older in asks if older.done() and older is not newest]:
-                    asks.pop(older).close()
+                timeout = (
+                    MOVE_RETRY_AFTER if was_moving else RENEW_AFTER if self.confirmed else CONFIRM_TIMEOUT
+                )
+                continued = time.monotonic() - self.last_answer_at <= CONTINUES
+                call = DiscoveryCall(
+                    time.monotonic(), hold, continued, self.last_answer_unqueued, self._since_version()
+                )
+                self.newest_call = call
+                if not was_moving:
+                    self.on_evidence(WatchOpened(call.started_at, hold))
+                newest_task = loop.create_task(self._make_call(channel, hold + CALL_TIMEOUT, call))
+                calls[newest_task] = channel
+                await asyncio.wait([newest_task], timeout=self._shortened(timeout, TIMEOUT_JITTER))
+                for older in [older for older in calls if older.done() and older is not newest_task]:
+                    calls.pop(older).close()
                 tries = tries + 1 if self.moving else 0
-                if not newest.done():
-                    self._lose(begun + max(SILENT_TOLD, hold + HOLD_TOLD) - loop.time(), silent=True)
+                if not newest_task.done():
+                    self._watch_lost(
+                        started_at + max(SILENCE_NOTIFIED_AFTER, hold + HOLD_TOLD) - loop.time(), silent=True
+                    )
                     channel = Channel()
                     continue
-                del asks[newest]
-                if newest.result():
-                    await asyncio.sleep(max(0.0, begun + LEAST_SPACING - loop.time()))
+                del calls[newest_task]
+                if newest_task.result():
+                    await asyncio.sleep(max(0.0, started_at + MIN_CALL_SPACING - loop.time()))
                     continue
-                self._lose()
-                ended = time.monotonic()
-                self.on_evidence(DiscoveryFailed(self.failure, ask.begun, ended, beside=bool(asks)))
+                self._watch_lost()
+                ended_at = time.monotonic()
+                self.on_evidence(
+                    DiscoveryFailed(self.last_failure, call.started_at, ended_at, beside=bool(calls))
+                )
                 if self.pushed:
-                    await asyncio.sleep(self._sooner(PUSH_PAUSE, PUSH_JITTER))
-                elif asks or (first and tries < MOVE_TRIES):
-                    await asyncio.sleep(self.backoff.failed(self.failure, ended))
+                    await asyncio.sleep(self._shortened(PUSH_RETRY_DELAY, PUSH_RETRY_JITTER))
+                elif calls or (was_moving and tries < MAX_MOVE_TRIES):
+                    await asyncio.sleep(self.backoff.failed(self.last_failure, ended_at))
                 else:
-                    self._watch = None  # over, for whom it tells
+                    self._watch_task = None  # over, for whom it tells
                     self.on_failed()
                     return
         finally:
-            if channel not in asks.values():
+            if channel not in calls.values():
                 channel.close()
 
-    def _since(self) -> int | None:
+    def _since_version(self) -> int | None:
         """The version from which changes are asked for."""
         return self.history.ask_from if self.moving and self.version is not None else self.version
 
-    def _sooner(self, most: float, share: float) -> float:
-        return most * (1 - share * self.random.random())
+    def _shortened(self, duration: float, jitter: float) -> float:
+        return duration * (1 - jitter * self.random.random())
 
-    async def _fetching(self) -> None:
+    async def _run_fetch(self) -> None:
         channel = Channel()
         try:
-            if not await self._ask(channel, PATIENCE, Ask(time.monotonic(), watch=False)):
+            if not await self._make_call(
+                channel, CALL_TIMEOUT, DiscoveryCall(time.monotonic(), is_watch=False)
+            ):
                 self.on_failed()
         finally:
             channel.close()
 
-    async def _verifying(self) -> None:
+    async def _run_verification(self) -> None:
         """Asks for the whole list in time of leisure, until it comes."""
-        listed = False
-        while not listed:
-            await asyncio.sleep(VERIFY_AFTER + VERIFY_SPREAD * self.random.random())
+        received = False
+        while not received:
+            await asyncio.sleep(VERIFY_DELAY + VERIFY_SPREAD * self.random.random())
             channel = Channel()
             try:
-                listed = await self._ask(channel, PATIENCE, Ask(time.monotonic(), watch=False))
+                received = await self._make_call(
+                    channel, CALL_TIMEOUT, DiscoveryCall(time.monotonic(), is_watch=False)
+                )
             finally:
                 channel.close()
 
-    async def _ask(self, channel: Channel, timeout: float, ask: Ask) -> bool:
+    async def _make_call(self, channel: Channel, timeout: float, call: DiscoveryCall) -> bool:
         """Whatever goes wrong ends this call only: a watch that ended untold would never be renewed."""
-        lists, held = self.lists, self.version
+        lists_before, held_version = self.lists_received, self.version
         try:
-            code, body = await channel.get(self.at, target(ask), timeout)
+            code, body = await channel.get(self.address, request_target(call), timeout)
             if code != 200:
                 raise ValueError(f"status {code}")
-            listing = read_listing(json.loads(body), self.starts)
+            listing = read_listing(json.loads(body), self.start_times)
             now = time.monotonic()
-            waited = now - ask.begun
-            if lists != self.lists and self.version is not None and listing.version < self.version:
+            waited = now - call.started_at
+            if (
+                lists_before != self.lists_received
+                and self.version is not None
+                and listing.version < self.version
+            ):
                 log.info("list_dropped", version=listing.version, held=self.version, waited_s=waited)
                 return True
-            if self.moving and not self._goes_on(listing):
+            if self.moving and not self._continues_history(listing):
                 self.version = None
                 return True
             # What goes on with a watch is written when something changes; any other call in its turn.
-            listing.written_after = max(ask.begun, now - HELD_UP) if ask.continued else ask.begun
-            listing.ends_watch = ask is self.newest
-            listing.turn = self._turn(listing, ask, waited)
+            listing.written_after = (
+                max(call.started_at, now - MAX_READ_DELAY) if call.continued else call.started_at
+            )
+            listing.ends_watch = call is self.newest_call
+            listing.queue_time = self._queue_time(listing, call, waited)
             self.on_list(listing)
-        except Exception as fault:
-            told = str(fault) or type(fault).__name__
-            waited = time.monotonic() - ask.begun
-            self.failure = tell_failure(fault, channel.asked, waited, ask.continued, ask.free)
+        except Exception as error:
+            error_text = str(error) or type(error).__name__
+            waited = time.monotonic() - call.started_at
+            self.last_failure = classify_failure(
+                error, channel.request_sent, waited, call.continued, call.previous_unqueued
+            )
             log.warning(
-                "discovery_failed", discovery="{}:{}".format(*self.at), fault=told, waited_s=waited,
-                held=held, evidence=self.failure.value, continued=ask.continued,
+                "discovery_failed", discovery="{}:{}".format(*self.address), fault=error_text, waited_s=waited,
+                held=held_version, evidence=self.last_failure.value, continued=call.continued,
             )  # fmt: skip
             return False
         log.info(
-            "list_taken", version=listing.version, held=held, whole=listing.whole,
+            "list_taken", version=listing.version, held=held_version, whole=listing.full,
             entries=len(listing.backends), answered_bytes=len(body), waited_s=waited,
         )  # fmt: skip
-        self._take(listing, ask, now)
+        self._accept_list(listing, call, now)
         return True
 
-    def _goes_on(self, listing: Listing) -> bool:
+    def _continues_history(self, listing: Listing) -> bool:
         """Whether this first list of a new address can be used with the one that is held."""
         servers = [listed.entry.server for listed in listing.backends]
-        if listing.whole or self.history.goes_on_with(listing.version, servers):
+        if listing.full or self.history.goes_on_with(listing.version, servers):
             return True
         log.warning(
-            "discovery_differs", discovery="{}:{}".format(*self.at), version=listing.version,
+            "discovery_differs", discovery="{}:{}".format(*self.address), version=listing.version,
             held=self.history.version, effect="the whole list is asked for",
         )  # fmt: skip
         return False
 
-    def _turn(self, listing: Listing, ask: Ask, waited: float) -> float | None:
+    def _queue_time(self, listing: Listing, call: DiscoveryCall, waited: float) -> float | None:
         """How long discovery took over a call, as far as it can be told from its hold."""
-        if ask.continued:
+        if call.continued:
             return None
-        unchanged = ask.since is not None and not listing.backends
-        return waited - ask.hold if unchanged else waited
+        unchanged = call.since_version is not None and not listing.backends
+        return waited - call.hold if unchanged else waited
 
-    def _take(self, listing: Listing, ask: Ask, now: float) -> None:
-        self.lists += 1
+    def _accept_list(self, listing: Listing, call: DiscoveryCall, now: float) -> None:
+        self.lists_received += 1
         self.version = listing.version
-        self.backoff.succeeded(listing.turn)
+        self.backoff.succeeded(listing.queue_time)
         if self.moving:
             self.moving = False
-            if not listing.whole and not self.history.comparable:
-                self._verification = asyncio.get_running_loop().create_task(self._verifying())
+            if not listing.full and not self.history.comparable:
+                self._verification_task = asyncio.get_running_loop().create_task(self._run_verification())
         servers = [listed.entry.server for listed in listing.backends]
-        self.history.told(None if listing.whole else ask.since, listing.version, servers)
-        if ask.watch:
-            self.answered_at = now
-            self.answered_free = listing.turn is not None and listing.turn <= AT_ONCE
+        self.history.told(None if listing.full else call.since_version, listing.version, servers)
+        if call.is_watch:
+            self.last_answer_at = now
+            self.last_answer_unqueued = listing.queue_time is not None and listing.queue_time <= AT_ONCE
             self.confirmed = True
 
 
-def target(ask: Ask) -> str:
+def request_target(call: DiscoveryCall) -> str:
     """The path and query of a call."""
-    if ask.since is None:
+    if call.since_version is None:
         return "/v1/servers"
-    return f"/v1/servers?from={ask.since}&hold_ms={ask.hold * 1000:.0f}"
+    return f"/v1/servers?from={call.since_version}&hold_ms={call.hold * 1000:.0f}"
--- a/granitepoint/net/discovery_channel.py
+++ b/granitepoint/net/discovery_channel.py
@@ -11,7 +11,7 @@
 from granitepoint.net.config import Address
 
 CONNECT_TIMEOUT = 1.0  # s
-LARGEST = 8 << 20  # bytes of an answer
+MAX_ANSWER_BYTES = 8 << 20  # bytes of an answer
 
 
 class Channel(asyncio.Protocol):
@@ -22,8 +22,8 @@
         self.answer: asyncio.Future[tuple[int, bytes]] | None = None
         self.parser: Any = None
         self.body = bytearray()
-        self.raw = 0  # bytes of the answer as they came
-        self.asked = False  # the request of this call was written: what fails now, fails at discovery
+        self.bytes_received = 0  # bytes of the answer as they came
+        self.request_sent = False  # the request of this call was written: what fails now, fails at discovery
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
@@ -33,18 +33,18 @@
         self._fail(ConnectionError("discovery closed the connection"))
 
     def data_received(self, data: bytes) -> None:
-        self.raw += len(data)
+        self.bytes_received += len(data)
         try:
-            if self.answer is None or self.answer.done() or self.raw > LARGEST:
+            if self.answer is None or self.answer.done() or self.bytes_received > MAX_ANSWER_BYTES:
                 raise ValueError("more than was asked for")
             self.parser.feed_data(data)
-        except Exception as fault:  # whatever it is, the stream can't be followed any further
-            self._fail(ValueError(f"malformed answer: {fault}"))
+        except Exception as error:  # whatever it is, the stream can't be followed any further
+            self._fail(ValueError(f"malformed answer: {error}"))
             self.close()
 
     def on_body(self, chunk: bytes) -> None:
         self.body += chunk
-        if len(self.body) > LARGEST:
+        if len(self.body) > MAX_ANSWER_BYTES:
             raise ValueError("the answer is too large")
 
     def on_message_complete(self) -> None:
@@ -53,30 +53,32 @@
         if not self.parser.should_keep_alive():
             self.close()
 
-    def _fail(self, fault: Exception) -> None:
+    def _fail(self, error: Exception) -> None:
         if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(fault)
+            self.answer.set_exception(error)
 
     def close(self) -> None:
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
-    async def get(self, at: Address, target: str, timeout: float) -> tuple[int, bytes]:
+    async def get(self, address: Address, request_target: str, timeout: float) -> tuple[int, bytes]:
         loop = asyncio.get_running_loop()
-        self.asked = False
+        self.request_sent = False
         try:
             async with asyncio.timeout(timeout):
                 if self.transport is None:
                     async with asyncio.timeout(CONNECT_TIMEOUT):
-                        await loop.create_connection(lambda: self, *at)
+                        await loop.create_connection(lambda: self, *address)
                 assert self.transport is not None
                 self.parser = httptools.HttpResponseParser(self)
                 self.body.clear()
-                self.raw = 0
+                self.bytes_received = 0
                 self.answer = loop.create_future()
-                self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {at[0]}:{at[1]}\r\n\r\n".encode())
-                self.asked = True
+                self.transport.write(
+                    f"GET {request_target} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n\r\n".encode()
+                )
+                self.request_sent = True
                 return await self.answer
         except BaseException:
             self.close()
@@ -85,17 +87,17 @@
             self.answer = None
 
 
-def tell_failure(
-    fault: Exception, asked: bool, waited: float, continued: bool, free: bool = False
+def classify_failure(
+    error: Exception, request_sent: bool, waited: float, continued: bool, previous_unqueued: bool = False
 ) -> Failure:
     """What the end of a call to discovery is evidence of. `asked`: its request had been written; `continued`
     and `free` as in `classify`."""
-    if isinstance(fault, ConnectionRefusedError):
+    if isinstance(error, ConnectionRefusedError):
         return Failure.REFUSED
-    if isinstance(fault, TimeoutError):
+    if isinstance(error, TimeoutError):
         return Failure.SILENT
-    if not asked and not isinstance(fault, ConnectionError):
+    if not request_sent and not isinstance(error, ConnectionError):
         return Failure.OWN_FAULT  # no socket, no port, no route: of this machine, and for a moment
-    if isinstance(fault, OSError) and not isinstance(fault, ConnectionError):
+    if isinstance(error, OSError) and not isinstance(error, ConnectionError):
         return Failure.SILENT  # a connection that broke for want of a word from the other side
-    return classify(waited, continued, free)
+    return classify(waited, continued, previous_unqueued)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -20,15 +20,15 @@
 from granitepoint.membership.list_lease import TOLD_AFTER
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.net.config import Config, ConfigError
-from granitepoint.net.discovery import Discovery
+from granitepoint.net.discovery import DiscoveryClient
 from granitepoint.net.listing import Listing, read_listing
 from granitepoint.net.logs import Events
 from granitepoint.net.server import Headers, Reply, Request
 from granitepoint.net.upstream import (
-    HOP_BY_HOP,
-    LATE,
-    ONE_TURN,
-    UPSTREAM_SHARE,
+    HOP_BY_HOP_HEADERS,
+    NEXT_LOOP_ITERATION,
+    STALL_THRESHOLD,
+    UPSTREAM_DESCRIPTOR_SHARE,
     Exchange,
     Upstream,
     Upstreams,
@@ -36,18 +36,20 @@
 
 log = Events(__name__)
 
-LEAST_MARGIN = 0.02  # s before a caller's deadline at which its answer leaves at the latest
-MOST_MARGIN = 0.15  # s
-MODULE_MARGIN = 0.02  # s by which the module's deadline lies before the proxy's own
-MARGIN_SHARE = 0.02  # of a call's time that either of these takes at most: they add up along a chain of calls
-LAG_FADE = 0.995  # of the measured loop lag that is kept at each timer
-NO_ROOM_ADVICE = 1.0  # s after which a caller that found no room may come back
-MOST_PROBES = 32  # at once
-MOST_FIGURE = 1e6  # of a report; more is no load, and would outweigh all other reports
+MIN_ANSWER_MARGIN = 0.02  # s before a caller's deadline at which its answer leaves at the latest
+MAX_ANSWER_MARGIN = 0.15  # s
+BALANCER_MARGIN = 0.02  # s by which the module's deadline lies before the proxy's own
+MAX_MARGIN_SHARE = (
+    0.02  # of a call's time that either of these takes at most: they add up along a chain of calls
+)
+LAG_DECAY = 0.995  # of the measured loop lag that is kept at each timer
+AT_CAPACITY_RETRY_AFTER = 1.0  # s after which a caller that found no room may come back
+MAX_CONCURRENT_PROBES = 32  # at once
+MAX_REPORT_VALUE = 1e6  # of a report; more is no load, and would outweigh all other reports
 PROBE_TIMEOUT = 0.2  # s; a report that comes later is of no use
-DROPPED = HOP_BY_HOP | {b"x-load-report", b"x-rejected"}
-READY_BY = 5.0  # s after the start at which a proxy is ready though no list has come: it then refuses
-FIGURES_EVERY = 5.0  # s between two lines of figures
+DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {b"x-load-report", b"x-rejected"}
+READY_TIMEOUT = 5.0  # s after the start at which a proxy is ready though no list has come: it then refuses
+STATISTICS_INTERVAL = 5.0  # s between two lines of figures
 REPORT_FIELDS = {
     "inflight": "busy_reqs", "queue": "pending", "util": "cpu_share",
     "latency_ms": "svc_ms", "qps": "served_ps", "eps": "failed_ps",
@@ -61,10 +63,10 @@
         for pair in text.decode("ascii").strip().split(","):
             name, _, value = pair.partition("=")
             name = REPORT_FIELDS.get(name.strip(), name.strip())
-            figure = float(value)
-            if name in report or not 0 <= figure <= MOST_FIGURE:
+            number = float(value)
+            if name in report or not 0 <= number <= MAX_REPORT_VALUE:
                 return None  # what says one thing twice, or what can't be, is trusted in nothing
-            report[name] = figure
+            report[name] = number
     except ValueError:
         return None
     return report or None
@@ -73,13 +75,23 @@
 class OpenCall:
     """A taken request that is owed its answer."""
 
-    __slots__ = ("attempts", "deadline", "exchange", "number", "open", "ran", "reply", "request", "timer")
+    __slots__ = (
+        "attempts",
+        "deadline",
+        "exchange",
+        "may_have_run",
+        "number",
+        "open",
+        "reply",
+        "request",
+        "timer",
+    )
 
     def __init__(self, number: int, request: Request, reply: Reply, deadline: float) -> None:
         self.number, self.request, self.reply, self.deadline = number, request, reply, deadline
         self.open = True
         self.attempts = 0
-        self.ran = False  # some attempt may have run
+        self.may_have_run = False  # some attempt may have run
         self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -88,8 +100,8 @@
     def __init__(self, config: Config) -> None:
         self.loop = asyncio.get_running_loop()
         pushed = not config.settings.ask_for_list
-        told_after = 0.0 if pushed else min(TOLD_AFTER, config.settings.must_ask_within)
-        self.settings = replace(config.settings, told_after=told_after)
+        notified_after = 0.0 if pushed else min(TOLD_AFTER, config.settings.must_ask_within)
+        self.settings = replace(config.settings, told_after=notified_after)
         self.config = config
         self.effects = {cls.name: cls.effect for cls in self.settings.classes}
         self.deadlines = {cls.name: cls.deadline for cls in self.settings.classes}
@@ -97,23 +109,23 @@
         self.upstreams = Upstreams(
             self.settings.connect_timeout,
             self.settings.conn_idle,
-            most_open=int(config.sockets * UPSTREAM_SHARE),
-            closed_at_rest=self._on_closed_at_rest,
+            max_connections=int(config.sockets * UPSTREAM_DESCRIPTOR_SHARE),
+            on_idle_closed=self._on_idle_connection_closed,
         )
         self.calls: dict[int, OpenCall] = {}
-        self.out: dict[int, Exchange] = {}  # attempts, by call: also of calls whose caller has left
-        self.ids: set[bytes] = set()  # of the calls in the table, and of attempts still out
+        self.in_flight: dict[int, Exchange] = {}  # attempts, by call: also of calls whose caller has left
+        self.active_ids: set[bytes] = set()  # of the calls in the table, and of attempts still out
         self.calls_taken = 0
-        self.probes = 0
+        self.probes_in_flight = 0
         self.events: list[api.Event] = []
-        self.flush_at: asyncio.Handle | None = None
-        self.flushed = 0.0
-        self.end_by = math.inf  # when the process is to end: what comes now is answered by then
-        self.tracing = log.debugging  # each request's own lines are wanted
+        self.flush_handle: asyncio.Handle | None = None
+        self.last_flush_at = 0.0
+        self.shutdown_deadline = math.inf  # when the process is to end: what comes now is answered by then
+        self.debug_enabled = log.debugging  # each request's own lines are wanted
         self.counts: Counter[str] = Counter()  # what came and how it ended, since the last line of figures
-        self.lag = 0.0  # s, how late this loop was lately
-        self.on_empty: Callable[[], None] | None = None
-        self.carriers: dict[type, Callable[[Any], None]] = {
+        self.loop_lag = 0.0  # s, how late this loop was lately
+        self.on_drained: Callable[[], None] | None = None
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
@@ -126,25 +138,25 @@
             api.Log: lambda action: log.info("module", text=action.text),
             api.Tell: lambda action: None,  # there is no talk between proxies
         }
-        starts = StartTimes()
+        start_times = StartTimes()
         try:
-            known = read_listing(config.known, starts) if config.known else Listing(0, True, [])
-        except ValueError as fault:
-            raise ConfigError(f"bad configuration: known: {fault}") from None
-        self.discovery = Discovery(
+            known = read_listing(config.known, start_times) if config.known else Listing(0, True, [])
+        except ValueError as error:
+            raise ConfigError(f"bad configuration: known: {error}") from None
+        self.discovery = DiscoveryClient(
             config.discovery,
             known.version,
             self._on_list,
             self._on_list_failed,
             Random(f"discovery {config.seed}"),  # not the module's own numbers once more
             pushed=not self.settings.ask_for_list,
-            on_evidence=self._push,
+            on_evidence=self._enqueue,
             instances=self.settings.balancers * self.settings.stages,
-            starts=starts,
+            start_times=start_times,
         )
         self.started_at = time.monotonic()
         self.was_ready = False
-        self.may_send = False  # by the list that is held
+        self.list_usable = False  # by the list that is held
         self.upstreams.apply(known)
         self.events.append(self._server_list(known, api.ListKind.SAVED))
 
@@ -152,22 +164,24 @@
         self._flush()
         if self.discovery.pushed:  # on sockets they come on a watch
             self.discovery.watch(True)
-        self.loop.call_later(FIGURES_EVERY, self._figures_due)
+        self.loop.call_later(STATISTICS_INTERVAL, self._on_statistics_due)
 
-    def _figures_due(self) -> None:
-        self.loop.call_later(FIGURES_EVERY, self._figures_due)
-        self.write_figures()
+    def _on_statistics_due(self) -> None:
+        self.loop.call_later(STATISTICS_INTERVAL, self._on_statistics_due)
+        self.log_statistics()
 
-    def write_figures(self) -> None:
+    def log_statistics(self) -> None:
         """What happened and where the module stands: tells a bad stretch from a good one."""
         if self.counts:
             counts, self.counts = self.counts + self.upstreams.counts, Counter()
             self.upstreams.counts.clear()
             admission = self.balancer.admission
-            kinds = self.balancer.kinds.values()
+            class_states = self.balancer.kinds.values()
             states = Counter(
-                "ejected" if s.ejected_until and s.state is api.ServerState.SERVING else s.state.value
-                for s in self.balancer.servers.known.values()
+                "ejected"
+                if server.ejected_until and server.state is api.ServerState.SERVING
+                else server.state.value
+                for server in self.balancer.servers.known.values()
             )
             log.info(
                 "figures",
@@ -176,8 +190,8 @@
                 list_confirmed=int(self.balancer.health.confirmed),
                 list_lease_s=self.balancer.list_lease.expires_at - time.monotonic(),
                 **{f"servers.{state}": count for state, count in sorted(states.items())},
-                **{f"target.{kind.name}_s": kind.target for kind in kinds},
-                **{f"mean.{kind.name}_s": kind.mean.value for kind in kinds},
+                **{f"target.{class_state.name}_s": class_state.target for class_state in class_states},
+                **{f"mean.{class_state.name}_s": class_state.mean.value for class_state in class_states},
                 **{name.replace(" ", "."): count for name, count in sorted(counts.items())},
             )  # fmt: skip
 
@@ -185,85 +199,85 @@
         self.discovery.stop()
 
     # events
-    def _push(self, event: api.Event) -> None:
+    def _enqueue(self, event: api.Event) -> None:
         """Events come to the module no more often than once a quantum."""
         self.events.append(event)
-        if self.flush_at is None:
-            wait = self.flushed + self.settings.quantum - time.monotonic()
+        if self.flush_handle is None:
+            wait = self.last_flush_at + self.settings.quantum - time.monotonic()
             if wait > 0:
-                self.flush_at = self.loop.call_later(wait, self._flush)
+                self.flush_handle = self.loop.call_later(wait, self._flush)
             else:
-                self.flush_at = self.loop.call_soon(self._flush)
+                self.flush_handle = self.loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flush_at = None
-        now = self.flushed = time.monotonic()
+        self.flush_handle = None
+        now = self.last_flush_at = time.monotonic()
         events, self.events = self.events, []
         try:
             actions = self.balancer.handle(now, events)
         except Exception:
-            self._recover(events)
+            self._handle_balancer_failure(events)
             return
-        self._note_list_lease(now)
+        self._update_list_usable(now)
         for action in actions:
             try:
-                self.carriers[type(action)](action)
+                self.action_handlers[type(action)](action)
             except Exception:
                 log.exception("action_failed", action=str(action))
                 number = getattr(action, "call", None)
                 if number is not None:
-                    self._give_up(number)
+                    self._answer_internal_error(number)
 
-    def _note_list_lease(self, now: float) -> None:
-        may_send = self.balancer.list_lease.valid(now)
-        if may_send != self.may_send:
-            self.may_send = may_send
+    def _update_list_usable(self, now: float) -> None:
+        list_usable = self.balancer.list_lease.valid(now)
+        if list_usable != self.list_usable:
+            self.list_usable = list_usable
             log.info(
-                "list_usable" if may_send else "list_unusable",
-                version=self.discovery.version, last_failure=self.discovery.failure.value,
+                "list_usable" if list_usable else "list_unusable",
+                version=self.discovery.version, last_failure=self.discovery.last_failure.value,
                 proven_s=now - self.balancer.list_lease.proven_until, held=len(self.balancer.queue),
             )  # fmt: skip
 
-    def _recover(self, events: list[api.Event]) -> None:
+    def _handle_balancer_failure(self, events: list[api.Event]) -> None:
         """The module failed on a batch: its calls fail, its timers come again, the rest goes on."""
         log.exception("module_failed", events=len(events))
         for event in events:
             if isinstance(event, api.Arrival | api.Outcome):
-                self._give_up(event.call)
+                self._answer_internal_error(event.call)
             elif isinstance(event, api.Timer):
                 self._set_timer(api.SetTimer(0.05, event.token))
 
-    def _give_up(self, number: int) -> None:
+    def _answer_internal_error(self, number: int) -> None:
         call = self.calls.get(number)
         if call is not None:
-            self._close(call, 502, (), b"internal error\n")
-            self._push(api.Gone(number))
+            self._answer(call, 502, (), b"internal error\n")
+            self._enqueue(api.Gone(number))
 
     @staticmethod
     def _server_list(listing: Listing, kind: api.ListKind) -> api.ServerList:
         entries = [listed.entry for listed in listing.backends]
         return api.ServerList(
-            kind, entries, listing.version, listing.written_after, listing.ends_watch, turn=listing.turn
+            kind, entries, listing.version, listing.written_after, listing.ends_watch, turn=listing.queue_time
         )
 
     def _on_list(self, listing: Listing) -> None:
-        if self.tracing:
+        if self.debug_enabled:
             for listed in listing.backends:
                 log.debug(
                     "server_listed", backend="{}:{}".format(*listed.address), state=listed.entry.state.value,
                     version=listing.version,
                 )  # fmt: skip
         self.upstreams.apply(listing)
-        kind = api.ListKind.FULL if listing.whole else api.ListKind.INCREMENTAL
-        self._push(self._server_list(listing, kind))
+        kind = api.ListKind.FULL if listing.full else api.ListKind.INCREMENTAL
+        self._enqueue(self._server_list(listing, kind))
 
     def _on_list_failed(self) -> None:
-        self._push(api.ServerList(api.ListKind.FAILED, failure=self.discovery.failure))
+        self._enqueue(api.ServerList(api.ListKind.FAILED, failure=self.discovery.last_failure))
 
-    def _on_closed_at_rest(self, upstream: Upstream, rested: float) -> None:
+    def _on_idle_connection_closed(self, upstream: Upstream, idle_for: float) -> None:
         for server, listed in self.upstreams.by_id.items():
             if listed is upstream and upstream.serving:  # what drains closes all that it has
-                self._push(api.ClosedAtRest(server, rested))
+                self._enqueue(api.ClosedAtRest(server, idle_for))
 
     # the callers' side
     def ready(self) -> bool:
@@ -271,98 +285,98 @@
         first taken in once one has come, or after a while, lest it be waited for in vain."""
         now = time.monotonic()
         lease = self.balancer.list_lease
-        self.was_ready = self.was_ready or lease.valid(now) or now > self.started_at + READY_BY
+        self.was_ready = self.was_ready or lease.valid(now) or now > self.started_at + READY_TIMEOUT
         return self.was_ready and self.upstreams.ready
 
     def opened(self, request: Request, reply: Reply) -> OpenCall | None:
-        if request.id in self.ids:
+        if request.id in self.active_ids:
             # An earlier one of this name is still out, and a second copy could run beside it.
             reply.answer(409, (), b"this X-Call-Id is in use\n")
             return None
         if self.settings.most_held and len(self.calls) >= self.settings.most_held:
-            reply.answer(503, self.advice(NO_ROOM_ADVICE), b"too many calls\n")
+            reply.answer(503, self.retry_after_headers(AT_CAPACITY_RETRY_AFTER), b"too many calls\n")
             return None
         self.calls_taken += 1
         self.counts["calls"] += 1
-        if self.tracing:
+        if self.debug_enabled:
             log.debug("call_taken", id=request.id, cls=request.cls, budget_s=request.budget)
         number = self.calls_taken
         # What the budget has lost before the request was read shows only as this loop's lag.
         # No client of a class waits longer than its deadline, whatever it says.
-        stated = min(request.budget, self.deadlines[request.cls])
-        spare = MARGIN_SHARE * stated
-        margin = min(MOST_MARGIN, min(LEAST_MARGIN, spare) + 2 * self.lag)
-        deadline = request.came + stated - margin
-        call = OpenCall(number, request, reply, min(deadline, self.end_by))
+        stated_budget = min(request.budget, self.deadlines[request.cls])
+        max_margin = MAX_MARGIN_SHARE * stated_budget
+        margin = min(MAX_ANSWER_MARGIN, min(MIN_ANSWER_MARGIN, max_margin) + 2 * self.loop_lag)
+        deadline = request.came + stated_budget - margin
+        call = OpenCall(number, request, reply, min(deadline, self.shutdown_deadline))
         self.calls[number] = call
-        self.ids.add(request.id)
+        self.active_ids.add(request.id)
         now = time.monotonic()
-        call.timer = self.loop.call_later(max(0.0, call.deadline - now), self._overdue, call)
-        self._push(
+        call.timer = self.loop.call_later(max(0.0, call.deadline - now), self._on_deadline, call)
+        self._enqueue(
             api.Arrival(
                 call=number,
                 cls=request.cls,
-                budget=call.deadline - min(MODULE_MARGIN, spare) - now,
+                budget=call.deadline - min(BALANCER_MARGIN, max_margin) - now,
                 tenant=request.tenant,
                 work=request.work,
                 resent=request.resent,
                 key=request.subject,
-                stated=stated,
+                stated=stated_budget,
             )
         )
         return call
 
-    def advice(self, wait: float) -> Headers:
+    def retry_after_headers(self, wait: float) -> Headers:
         """When to come back, where the settings allow to say so, and no later than a client would heed."""
         wait = min(wait, self.settings.max_wait_advice) if self.settings.may_advise_wait else 0.0
         return ((b"retry-after", b"%.3f" % wait),) if wait > 0 else ()
 
     def left(self, call: OpenCall) -> None:
         if call.open:
-            if self.tracing:
+            if self.debug_enabled:
                 log.debug("caller_left", id=call.request.id)
-            self._settle(call)
-            self._push(api.Gone(call.number))
+            self._remove_call(call)
+            self._enqueue(api.Gone(call.number))
 
-    def _overdue(self, call: OpenCall, late: bool = False) -> None:
+    def _on_deadline(self, call: OpenCall, rechecked: bool = False) -> None:
         """The module has said nothing in time: a failure, unless a refusal is provably harmless."""
         if not call.open:
             return
-        if not late and time.monotonic() > call.deadline + LATE:
+        if not rechecked and time.monotonic() > call.deadline + STALL_THRESHOLD:
             # This process stood still, and timers come before sockets: the answer may have come meanwhile.
-            call.timer = self.loop.call_later(ONE_TURN, self._overdue, call, True)
+            call.timer = self.loop.call_later(NEXT_LOOP_ITERATION, self._on_deadline, call, True)
             return
-        harmless = not call.ran and (call.exchange is None or not call.exchange.sent)
+        never_ran = not call.may_have_run and (call.exchange is None or not call.exchange.sent)
         exchange = call.exchange
-        self._close(call, 503 if harmless else 504, (), b"out of time\n")
-        self._push(api.Gone(call.number))
+        self._answer(call, 503 if never_ran else 504, (), b"out of time\n")
+        self._enqueue(api.Gone(call.number))
         if exchange is not None:
             exchange.end(api.Status.TIMEOUT if exchange.sent else api.Status.MOOT)
 
-    def _close(self, call: OpenCall, code: int, headers: Any, body: bytes) -> None:
+    def _answer(self, call: OpenCall, code: int, headers: Any, body: bytes) -> None:
         """The final answer. After it the call is gone from the table, so there is no second one."""
-        self._settle(call)
+        self._remove_call(call)
         self.counts[f"answer {code}"] += 1
-        if self.tracing:
+        if self.debug_enabled:
             log.debug("call_answered", id=call.request.id, code=code)
         call.reply.answer(code, headers, body)
 
-    def _settle(self, call: OpenCall) -> None:
+    def _remove_call(self, call: OpenCall) -> None:
         call.open = False
         self.calls.pop(call.number, None)
         if call.exchange is None:
-            self.ids.discard(call.request.id)
+            self.active_ids.discard(call.request.id)
         if call.timer is not None:
             call.timer.cancel()
-        if not self.calls and self.on_empty is not None:
-            self.on_empty()
+        if not self.calls and self.on_drained is not None:
+            self.on_drained()
 
     # actions
     def _send(self, action: api.Send) -> None:
         call = self.calls.get(action.call)
         if call is None:
             # It has ended since the batch was handed over; every send is owed an outcome.
-            self._push(api.Outcome(action.call, 0, action.server, api.Status.MOOT, 0.0, True))
+            self._enqueue(api.Outcome(action.call, 0, action.server, api.Status.MOOT, 0.0, True))
             return
         number = call.attempts
         call.attempts += 1
@@ -370,13 +384,17 @@
         if upstream is None or not upstream.serving or call.exchange is not None:
             if call.exchange is not None:
                 log.error("second_attempt", id=call.request.id)
-            self._push(api.Outcome(call.number, number, action.server, api.Status.MOOT, 0.0, False))
+            self._enqueue(api.Outcome(call.number, number, action.server, api.Status.MOOT, 0.0, False))
             return
         timeout = min(action.timeout, call.deadline - time.monotonic())
 
-        def request(left: float) -> bytes:
-            sent = call.request
-            return sent.head + b"x-budget: %du\r\n\r\n" % max(1, int(left * 1e6)) + sent.body
+        def build_request(time_left: float) -> bytes:
+            client_request = call.request
+            return (
+                client_request.head
+                + b"x-budget: %du\r\n\r\n" % max(1, int(time_left * 1e6))
+                + client_request.body
+            )
 
         def may_start() -> bool:
             if call.open and call.reply.gone():
@@ -384,17 +402,24 @@
             # The list may have grown too old during the connect, or while this process was held up.
             return call.open and upstream.serving and self.balancer.list_lease.valid(time.monotonic())
 
-        def done(exchange: Exchange) -> None:
+        def on_done(exchange: Exchange) -> None:
             self._attempt_ended(call, number, action.server, exchange)
 
-        sent_as = call.request.id
-        if self.tracing:
+        request_id = call.request.id
+        if self.debug_enabled:
             backend = "{}:{}".format(*upstream.address)
-            log.debug("attempt_begun", id=sent_as, number=number, backend=backend, timeout_s=timeout)
+            log.debug("attempt_begun", id=request_id, number=number, backend=backend, timeout_s=timeout)
         exchange = Exchange(
-            upstream, request, max(0.0, timeout), may_start, done, action.trust, action.within, sent_as
+            upstream,
+            build_request,
+            max(0.0, timeout),
+            may_start,
+            on_done,
+            action.trust,
+            action.within,
+            request_id,
         )
-        call.exchange = self.out[call.number] = exchange
+        call.exchange = self.in_flight[call.number] = exchange
         self.upstreams.start(exchange)
 
     def _attempt_ended(self, call: OpenCall, number: int, server: int, exchange: Exchange) -> None:
@@ -402,59 +427,61 @@
         assert status is not None
         call.exchange = None
         self.counts[f"attempt {status.name.lower()}"] += 1
-        self.out.pop(call.number, None)
-        if self.tracing:
-            after, told = exchange.elapsed, status.name.lower()
-            log.debug("attempt_ended", id=call.request.id, number=number, status=told, after_s=after)
+        self.in_flight.pop(call.number, None)
+        if self.debug_enabled:
+            elapsed, status_name = exchange.elapsed, status.name.lower()
+            log.debug("attempt_ended", id=call.request.id, number=number, status=status_name, after_s=elapsed)
         if status not in api.NEVER_RAN:
-            call.ran = True
+            call.may_have_run = True
         if not call.open:
-            self.ids.discard(call.request.id)
+            self.active_ids.discard(call.request.id)
         elif status is api.Status.OK:
-            headers = [pair for pair in exchange.headers if pair[0] not in DROPPED]
-            self._close(call, 200, headers, exchange.body)
+            headers = [pair for pair in exchange.headers if pair[0] not in DROPPED_HEADERS]
+            self._answer(call, 200, headers, exchange.body)
         report = None
         if self.settings.reports == "answer":
             reports = [value for name, value in exchange.headers if name == b"x-load-report"]
             report = read_report(reports[0]) if len(reports) == 1 else None
         ended = not call.open
-        self._push(
-            api.Outcome(call.number, number, server, status, exchange.elapsed, ended, report, exchange.rested)
+        self._enqueue(
+            api.Outcome(
+                call.number, number, server, status, exchange.elapsed, ended, report, exchange.idle_for
+            )
         )
 
     def _refuse(self, action: api.Refuse) -> None:
         call = self.calls.get(action.call)
         if call is not None:
-            if not self.may_send:
+            if not self.list_usable:
                 self.counts["refused without list"] += 1
-            self._close(call, 503, self.advice(action.retry_after), b"refused\n")
+            self._answer(call, 503, self.retry_after_headers(action.retry_after), b"refused\n")
 
     def _fail(self, action: api.Fail) -> None:
         call = self.calls.get(action.call)
         if call is not None:
-            self._close(call, 502, (), b"failed\n")
+            self._answer(call, 502, (), b"failed\n")
 
     def _cancel(self, action: api.Cancel) -> None:
-        exchange = self.out.get(action.call)
+        exchange = self.in_flight.get(action.call)
         if exchange is not None:
             exchange.cancel()
 
     def _probe(self, action: api.Probe) -> None:
         upstream = self.upstreams.by_id.get(action.server)
-        if upstream is None or not upstream.serving or self.probes >= MOST_PROBES:
-            self._push(api.Probed(action.server, api.Status.FULL, 0.0))  # not the backend's fault
+        if upstream is None or not upstream.serving or self.probes_in_flight >= MAX_CONCURRENT_PROBES:
+            self._enqueue(api.Probed(action.server, api.Status.FULL, 0.0))  # not the backend's fault
             return
-        self.probes += 1
+        self.probes_in_flight += 1
         target = "/healthz" if self.settings.reports == "none" else "/load"
         host, port = upstream.address
         request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
 
-        def done(exchange: Exchange) -> None:
-            self.probes -= 1
+        def on_done(exchange: Exchange) -> None:
+            self.probes_in_flight -= 1
             status = exchange.status
             assert status is not None
             self.counts[f"probe {status.name.lower()}"] += 1
-            if self.tracing:
+            if self.debug_enabled:
                 log.debug(
                     "probe_ended", backend="{}:{}".format(*upstream.address), status=status.name.lower(),
                     code=exchange.code, after_s=exchange.elapsed,
@@ -462,19 +489,19 @@
             report = read_report(exchange.body) if status is api.Status.OK else None
             if status is api.Status.MOOT:
                 status = api.Status.FULL  # not asked, so nothing is known against it
-            self._push(api.Probed(action.server, status, exchange.elapsed, report))
+            self._enqueue(api.Probed(action.server, status, exchange.elapsed, report))
 
         self.upstreams.start(
-            Exchange(upstream, lambda left: request, PROBE_TIMEOUT, lambda: upstream.serving, done)
+            Exchange(upstream, lambda time_left: request, PROBE_TIMEOUT, lambda: upstream.serving, on_done)
         )
 
     def _set_timer(self, action: api.SetTimer) -> None:
         due = time.monotonic() + action.delay
-        self.loop.call_later(max(0.0, action.delay), self._timer, due, action.token)
+        self.loop.call_later(max(0.0, action.delay), self._on_timer, due, action.token)
 
-    def _timer(self, due: float, token: int) -> None:
-        self.lag = max(self.lag * LAG_FADE, time.monotonic() - due)
-        self._push(api.Timer(token))
+    def _on_timer(self, due: float, token: int) -> None:
+        self.loop_lag = max(self.loop_lag * LAG_DECAY, time.monotonic() - due)
+        self._enqueue(api.Timer(token))
 
     def _close_idle(self, action: api.CloseIdle) -> None:
         upstream = self.upstreams.by_id.get(action.server)
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -13,13 +13,17 @@
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.net.config import Address, address
 
-MS = 1000  # of a second
+MS_PER_SECOND = 1000  # of a second
 
-STATES = {"Ready": ServerState.SERVING, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+STATES_BY_STATUS = {
+    "Ready": ServerState.SERVING,
+    "Terminating": ServerState.DRAINING,
+    "Gone": ServerState.GONE,
+}
 
 
 @dataclass(slots=True)
-class Listed:
+class ListedBackend:
     """A backend as a list names it."""
 
     address: Address
@@ -29,11 +33,11 @@
 @dataclass(slots=True)
 class Listing:
     version: int
-    whole: bool
-    backends: list[Listed]
+    full: bool
+    backends: list[ListedBackend]
     written_after: float | None = None  # monotonic, when it was written at the earliest; None: unknown
     ends_watch: bool = True  # it came on the newest call; otherwise a watch is still out
-    turn: float | None = None  # s that the call took without its hold; None: it went on with a watch
+    queue_time: float | None = None  # s that the call took without its hold; None: it went on with a watch
 
 
 def server_id(name: str) -> int:
@@ -41,42 +45,48 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
-def read_listing(raw: object, starts: StartTimes | None = None) -> Listing:
+def read_listing(document: object, start_times: StartTimes | None = None) -> Listing:
     """`starts`: the starts that earlier lists have named. Raises ValueError where the list can't be used."""
     try:
-        if not isinstance(raw, Mapping):
+        if not isinstance(document, Mapping):
             raise ValueError("not an object")
-        items = list(raw["endpoints"])
-        listing = Listing(int(raw["index"]), bool(raw["snapshot"]), [_listed(item) for item in items])
-        named = [(str(item["name"]), float(item.get("since_ms") or 0) / MS) for item in items]
-        if not all(math.isfinite(start) for _, start in named):
+        items = list(document["endpoints"])
+        listing = Listing(
+            int(document["index"]), bool(document["snapshot"]), [_read_backend(item) for item in items]
+        )
+        named_starts = [
+            (str(item["name"]), float(item.get("since_ms") or 0) / MS_PER_SECOND) for item in items
+        ]
+        if not all(math.isfinite(start) for _, start in named_starts):
             raise ValueError("a start of the list is not finite")
-    except (KeyError, TypeError, AttributeError, OverflowError) as fault:
-        raise ValueError(f"malformed list: {fault!r}") from None
-    _tell_starts(listing, named, starts or StartTimes())
+    except (KeyError, TypeError, AttributeError, OverflowError) as error:
+        raise ValueError(f"malformed list: {error!r}") from None
+    _set_start_times(listing, named_starts, start_times or StartTimes())
     return listing
 
 
-def _tell_starts(listing: Listing, named: Sequence[tuple[str, float]], starts: StartTimes) -> None:
+def _set_start_times(
+    listing: Listing, named_starts: Sequence[tuple[str, float]], start_times: StartTimes
+) -> None:
     """When each server was started, on this process's clock."""
-    started = starts.listed(dict(named), time.monotonic())
-    for (name, _), listed in zip(named, listing.backends, strict=True):
+    started = start_times.listed(dict(named_starts), time.monotonic())
+    for (name, _), listed in zip(named_starts, listing.backends, strict=True):
         listed.entry.started_at = started[name]
         if listed.entry.state is ServerState.GONE:
-            starts.forget(name)
-    if listing.whole:
-        starts.keep(set(started))
+            start_times.forget(name)
+    if listing.full:
+        start_times.keep(set(started))
 
 
-def _listed(item: Mapping[str, Any]) -> Listed:
+def _read_backend(item: Mapping[str, Any]) -> ListedBackend:
     entry = ServerEntry(
         server=server_id(str(item["name"])),
         zone=str(item.get("zone", "")),
         kind=str(item.get("type", "")),
         cell=int(item.get("group", 0)),
-        state=STATES[item["status"]],
+        state=STATES_BY_STATUS[item["status"]],
         weight=float(item.get("weight", 1.0)),
     )
     if not math.isfinite(entry.weight):
         raise ValueError("a figure of the list is not finite")
-    return Listed(address(item["address"]), entry)
+    return ListedBackend(address(item["address"]), entry)
--- a/granitepoint/net/server.py
+++ b/granitepoint/net/server.py
@@ -17,7 +17,13 @@
 from granitepoint.interface import Effect
 from granitepoint.net.listener import Listener
 from granitepoint.net.logs import Events
-from granitepoint.net.upstream import HOP_BY_HOP, LATE, ONE_TURN, UPSTREAM_SHARE, clean
+from granitepoint.net.upstream import (
+    HOP_BY_HOP_HEADERS,
+    NEXT_LOOP_ITERATION,
+    STALL_THRESHOLD,
+    UPSTREAM_DESCRIPTOR_SHARE,
+    normalize_header,
+)
 
 log = Events(__name__)
 
@@ -43,7 +49,7 @@
 UNCLEAN = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # in a header's value
 TARGET = re.compile(rb"/[\x21-\x7e]*")
 BUDGET = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
-REPLACED = HOP_BY_HOP | {b"x-budget", b"expect", b"x-load-report"}
+REPLACED = HOP_BY_HOP_HEADERS | {b"x-budget", b"expect", b"x-load-report"}
 REASONS = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout", 409: b"Conflict",
     413: b"Content Too Large", 431: b"Request Header Fields Too Large", 500: b"Internal Server Error",
@@ -269,7 +275,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         self._count_head(len(name) + len(value))
         if not self.head_done:  # a trailer is no header
-            self.headers.append(clean(name, value))
+            self.headers.append(normalize_header(name, value))
 
     def _count_head(self, size: int) -> None:
         self.head_size += size
@@ -453,7 +459,7 @@
         self.loop = asyncio.get_running_loop()
         self.advice = advice  # for a caller that finds no room
         self.effects, self.handler = effects, handler
-        others = int(sockets * UPSTREAM_SHARE) + min(RESERVE, sockets // 10)
+        others = int(sockets * UPSTREAM_DESCRIPTOR_SHARE) + min(RESERVE, sockets // 10)
         by_memory = int(max(1.0, memory_mb - BASE_MEMORY) / CALLER_MEMORY)
         # Each with its copy.
         self.most_long = max(1, int(LONG_SHARE * (memory_mb - BASE_MEMORY) * 2**20 / (2 * MOST_BODY)))
@@ -517,7 +523,7 @@
         """Stops listening once all that has connected is accepted, or at that time: what the kernel holds for
         a listener when it closes is reset, with the requests that have come on it."""
         while self.listener is not None and self.listener.pending and time.monotonic() < by:
-            await asyncio.sleep(ONE_TURN)
+            await asyncio.sleep(NEXT_LOOP_ITERATION)
         self.stop_listening()
 
     def stop_listening(self) -> None:
@@ -554,10 +560,10 @@
 
     def _sweep(self) -> None:
         now = time.monotonic()
-        if now > self.sweep_due + SWEEP + LATE:
+        if now > self.sweep_due + SWEEP + STALL_THRESHOLD:
             # This process stood still, and timers come before sockets: what is missing may have come.
             self.sweep_due = now
-            self.loop.call_later(ONE_TURN, self._sweep)
+            self.loop.call_later(NEXT_LOOP_ITERATION, self._sweep)
             return
         self._end_those_that_left()
         for table, bound, end in (
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -20,25 +20,27 @@
 
 log = Events(__name__)
 
-MOST_BODY = 256 * 1024  # bytes of an answer
-MOST_HEAD = 32 * 1024  # bytes of an answer's headers, with all 1xx answers ahead of it
-MOST_RAW = MOST_HEAD + 2 * MOST_BODY  # bytes of an answer as it comes, chunk by chunk
-IDLE_SHARE = 0.9  # of the settings' idle time after which this side closes first
-LATE = 0.01  # s of delay of a timer after which the sockets are looked at first
-ONE_TURN = 0.001  # s; the loop reads its sockets before such a timer
-SETTLE = ONE_TURN  # s after an answer before its connection is used again: what else comes is seen first
-PROVE = ONE_TURN  # s between a request and its last byte: a connection that is lost breaks meanwhile
-ENDED = select.POLLERR | select.POLLHUP | select.POLLRDHUP
-UPSTREAM_SHARE = 0.4  # of the descriptors that the process may hold, for connections to backends
-SWEEP = 1.0  # s between looks for idle connections
-OWN_FAULTS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-HOP_BY_HOP = frozenset(
+MAX_BODY_BYTES = 256 * 1024  # bytes of an answer
+MAX_HEADER_BYTES = 32 * 1024  # bytes of an answer's headers, with all 1xx answers ahead of it
+MAX_RAW_ANSWER_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # bytes of an answer as it comes, chunk by chunk
+IDLE_TIMEOUT_SHARE = 0.9  # of the settings' idle time after which this side closes first
+STALL_THRESHOLD = 0.01  # s of delay of a timer after which the sockets are looked at first
+NEXT_LOOP_ITERATION = 0.001  # s; the loop reads its sockets before such a timer
+REUSE_DELAY = NEXT_LOOP_ITERATION  # s after an answer before its connection is used again: what else comes is seen first
+LAST_BYTE_DELAY = (
+    NEXT_LOOP_ITERATION  # s between a request and its last byte: a connection that is lost breaks meanwhile
+)
+HANGUP_EVENTS = select.POLLERR | select.POLLHUP | select.POLLRDHUP
+UPSTREAM_DESCRIPTOR_SHARE = 0.4  # of the descriptors that the process may hold, for connections to backends
+IDLE_SWEEP_INTERVAL = 1.0  # s between looks for idle connections
+LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+HOP_BY_HOP_HEADERS = frozenset(
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer "
     b"transfer-encoding upgrade content-length".split()
 )
 
 
-def clean(name: bytes, value: bytes) -> tuple[bytes, bytes]:
+def normalize_header(name: bytes, value: bytes) -> tuple[bytes, bytes]:
     """A header, without the blanks round its value: httptools leaves those behind it. A coding with a
     tab behind it is none that httptools knows, so that stays as it is."""
     name = name.lower()
@@ -54,46 +56,46 @@
 
     __slots__ = (
         "body",
+        "build_request",
         "code",
         "connection",
-        "done",
-        "due",
+        "deadline",
         "elapsed",
-        "ends_at",
         "headers",
         "id",
+        "idle_for",
+        "last_byte",
         "loop",
+        "max_idle_age",
         "may_start",
-        "request",
-        "rested",
-        "send_by",
+        "on_done",
+        "send_deadline",
         "sent",
         "started_at",
         "status",
-        "tail",
         "timer",
-        "trust",
+        "timer_due",
         "upstream",
     )
 
     def __init__(
         self,
         upstream: Upstream,
-        request: Callable[[float], bytes],
+        build_request: Callable[[float], bytes],
         timeout: float,
         may_start: Callable[[], bool],
-        done: Callable[[Exchange], None],
-        trust: float = math.inf,
-        within: float = math.inf,
+        on_done: Callable[[Exchange], None],
+        max_idle_age: float = math.inf,
+        send_within: float = math.inf,
         id: bytes = b"",
     ) -> None:
         self.id = id  # of the request, for the log
         self.upstream = upstream
-        self.request = request  # given the time left in s, at the first byte
-        self.tail = b""  # the last byte, held back
-        self.trust = trust  # s that a connection may have rested
-        self.rested: float | None = None  # s that the one used had; 0: it was new
-        self.may_start, self.done = may_start, done
+        self.build_request = build_request  # given the time left in s, at the first byte
+        self.last_byte = b""  # the last byte, held back
+        self.max_idle_age = max_idle_age  # s that a connection may have rested
+        self.idle_for: float | None = None  # s that the one used had; 0: it was new
+        self.may_start, self.on_done = may_start, on_done
         self.loop = upstream.owner.loop
         self.started_at = time.monotonic()
         self.status: Status | None = None
@@ -103,9 +105,9 @@
         self.code = 0
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
-        self.due = self.ends_at = self.started_at + timeout
-        self.send_by = self.started_at + within  # no last byte after it
-        self.timer = self.loop.call_later(timeout, self._out_of_time)
+        self.timer_due = self.deadline = self.started_at + timeout
+        self.send_deadline = self.started_at + send_within  # no last byte after it
+        self.timer = self.loop.call_later(timeout, self._on_timeout)
 
     def end(self, status: Status) -> None:
         """Any end but a whole answer gives up the connection, so that a late answer reaches nobody."""
@@ -119,24 +121,24 @@
             log.info(
                 "attempt_given_up", id=self.id or None, status=status.name.lower(),
                 backend="{}:{}".format(*self.upstream.address), after_s=self.elapsed,
-                answered_bytes=connection.raw, rested_s=connection.rested, carried=connection.carried,
+                answered_bytes=connection.bytes_received, rested_s=connection.idle_for, carried=connection.exchange_count,
             )  # fmt: skip
             connection.abandon()
         try:
-            self.done(self)
+            self.on_done(self)
         except Exception:  # one call's fault must not end the callbacks of a connection
             log.exception("exchange_end_failed", id=self.id or None)
 
     def cancel(self) -> None:
         self.end(Status.CANCELLED if self.sent else Status.MOOT)
 
-    def _out_of_time(self) -> None:
-        if time.monotonic() > self.due + LATE:
+    def _on_timeout(self) -> None:
+        if time.monotonic() > self.timer_due + STALL_THRESHOLD:
             # This process stood still, and timers come before sockets: the answer may have come long ago.
-            self.due = math.inf
-            self.timer = self.loop.call_later(ONE_TURN, self._out_of_time)
+            self.timer_due = math.inf
+            self.timer = self.loop.call_later(NEXT_LOOP_ITERATION, self._on_timeout)
             return
-        if self.sent and self.upstream.heard_at < self.started_at:
+        if self.sent and self.upstream.last_received_at < self.started_at:
             # The backend said nothing to anyone meanwhile. A machine that vanished leaves its connections
             # open and silent; when it is back, each would cost one more call or probe to find out.
             self.upstream.close_idle(self.started_at)
@@ -144,23 +146,23 @@
 
     def run_on(self, connection: Connection) -> None:
         """Writes the request, unless it has ended or must not start any more."""
-        if self.status is not None or time.monotonic() >= self.send_by or not self.may_start():
-            connection.upstream.keep(connection)
+        if self.status is not None or time.monotonic() >= self.send_deadline or not self.may_start():
+            connection.upstream.release(connection)
             self.end(Status.MOOT)
             return
         self.connection = connection
-        connection.begin(self)
+        connection.start_exchange(self)
 
-    def not_sent(self, fresh: bool) -> None:
+    def on_broken_unsent(self, new_connection: bool) -> None:
         """The connection broke before the last byte was written, so nothing ran. A kept one had been lost
         unseen, which is no word of the backend's: the next one is used."""
         self.connection = None
-        if fresh:
+        if new_connection:
             self.end(Status.CONNECT_FAILED)
         elif self.status is None:
             self.upstream.owner.start(self)
 
-    def answered(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    def on_answer(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         self.connection = None
         self.code, self.headers, self.body = code, headers, body
         if code == 200:
@@ -175,20 +177,20 @@
     """One connection to a backend; carries one exchange at a time."""
 
     __slots__ = (
-        "answer",
         "body",
-        "carried",
+        "body_size",
+        "body_until_close",
+        "bytes_received",
+        "connected_at",
         "exchange",
-        "head_done",
+        "exchange_count",
         "headers",
+        "headers_complete",
+        "idle_for",
         "idle_since",
-        "made_at",
         "parser",
-        "raw",
-        "rested",
-        "size",
+        "pending_answer",
         "transport",
-        "until_close",
         "upstream",
     )
 
@@ -199,104 +201,108 @@
         self.parser: Any = None  # one for each exchange: nothing of the last answer can reach the next
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
-        self.raw = self.size = 0  # bytes of this answer as they came; of its body
-        self.head_done = self.until_close = False
-        self.answer: tuple[int, bool] | None = None  # whole, not handed on yet: its code, and whether to keep
+        self.bytes_received = self.body_size = 0  # bytes of this answer as they came; of its body
+        self.headers_complete = self.body_until_close = False
+        self.pending_answer: tuple[int, bool] | None = (
+            None  # whole, not handed on yet: its code, and whether to keep
+        )
         self.idle_since = 0.0
-        self.made_at = time.monotonic()
-        self.carried = 0  # exchanges so far
-        self.rested = 0.0  # s that it had not been used before the last of these
+        self.connected_at = time.monotonic()
+        self.exchange_count = 0  # exchanges so far
+        self.idle_for = 0.0  # s that it had not been used before the last of these
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
-        self.made_at = time.monotonic()
-        self.upstream.owner.made += 1
+        self.connected_at = time.monotonic()
+        self.upstream.owner.open_connections += 1
         self.upstream.owner.counts["opened"] += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = self.parser = None  # the parser holds this object: a cycle that would wait for gc
-        at_rest = self in self.upstream.idle
-        self.upstream.lost(self)
-        if at_rest:
+        was_idle = self in self.upstream.idle
+        self.upstream.on_connection_lost(self)
+        if was_idle:
             self.upstream.owner.counts["ended at rest"] += 1
-            self.upstream.owner.closed_at_rest(self.upstream, time.monotonic() - self.idle_since)
+            self.upstream.owner.on_idle_closed(self.upstream, time.monotonic() - self.idle_since)
         if self.exchange is not None:
             # The whole request may have left this process, so the backend may have run it: never a resend.
             exchange, self.exchange = self.exchange, None
             if not exchange.sent:
-                self._break_off(exchange)
+                self._fail_unsent(exchange)
                 return
             now = time.monotonic()
             log.info(
                 "attempt_reset", id=exchange.id or None, backend="{}:{}".format(*self.upstream.address),
-                after_s=now - exchange.started_at, answered_bytes=self.raw, connection_s=now - self.made_at,
-                rested_s=self.rested, carried=self.carried,
+                after_s=now - exchange.started_at, answered_bytes=self.bytes_received, connection_s=now - self.connected_at,
+                rested_s=self.idle_for, carried=self.exchange_count,
             )  # fmt: skip
             exchange.end(Status.RESET)
 
     def eof_received(self) -> None:
-        if self.exchange is not None and self.until_close:
-            self.answer = self.parser.get_status_code(), False
-            self._hand_on()
+        if self.exchange is not None and self.body_until_close:
+            self.pending_answer = self.parser.get_status_code(), False
+            self._deliver()
 
     def data_received(self, data: bytes) -> None:
-        self.upstream.heard_at = time.monotonic()
+        self.upstream.last_received_at = time.monotonic()
         if self.exchange is None or not self.exchange.sent:
             exchange = self.exchange
             self.abandon()  # nothing was asked: an answer to nobody
             if exchange is not None:
-                self._break_off(exchange)
+                self._fail_unsent(exchange)
             return
-        self.raw += len(data)
-        spoilt = False
+        self.bytes_received += len(data)
+        malformed = False
         try:
             self.parser.feed_data(data)
             # httptools gathers a header that does not end without a word, so what comes is counted as it is.
-            if self.answer is None and self.raw > (MOST_RAW if self.head_done else MOST_HEAD):
+            if self.pending_answer is None and self.bytes_received > (
+                MAX_RAW_ANSWER_BYTES if self.headers_complete else MAX_HEADER_BYTES
+            ):
                 raise ValueError("the answer does not end")
-        except Exception as fault:  # garbage; it may still have run
-            cause = fault.__context__ or fault
+        except Exception as error:  # garbage; it may still have run
+            cause = error.__context__ or error
             log.warning(
                 "answer_unusable", id=self.exchange.id or None,
                 backend="{}:{}".format(*self.upstream.address), fault=str(cause),
             )  # fmt: skip
-            spoilt = True
-        if self.answer is not None:
-            if spoilt:  # it is whole and good, but more came than belongs to it
-                self.answer = self.answer[0], False
-            self._hand_on()
-        elif spoilt:
-            self._spoilt()
-
-    def _hand_on(self) -> None:
-        assert self.answer is not None and self.exchange is not None
-        (code, keep), self.answer = self.answer, None
+            malformed = True
+        if self.pending_answer is not None:
+            if malformed:  # it is whole and good, but more came than belongs to it
+                self.pending_answer = self.pending_answer[0], False
+            self._deliver()
+        elif malformed:
+            self._end_malformed()
+
+    def _deliver(self) -> None:
+        assert self.pending_answer is not None and self.exchange is not None
+        (code, keep_alive), self.pending_answer = self.pending_answer, None
         headers, self.headers = self.headers, []
         body, self.body = b"".join(self.body), []
         exchange, self.exchange, self.parser = self.exchange, None, None
-        if keep:
-            self.upstream.keep(self)
+        if keep_alive:
+            self.upstream.release(self)
         else:
             self.upstream.owner.counts["not to be kept"] += 1
             self.abandon()
-        exchange.answered(code, headers, body)
+        exchange.on_answer(code, headers, body)
 
     # parser callbacks
     def on_message_begin(self) -> None:
-        if self.answer is not None:
+        if self.pending_answer is not None:
             raise ValueError("more than one answer to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.head_done:  # a trailer is no header
-            self.headers.append(clean(name, value))
+        if not self.headers_complete:  # a trailer is no header
+            self.headers.append(normalize_header(name, value))
 
     def on_headers_complete(self) -> None:
         code = self.parser.get_status_code()
         if 100 <= code < 200:
             return
-        self.head_done = True
-        if self.raw > MOST_HEAD + MOST_BODY:  # came in one piece
+        self.headers_complete = True
+        if self.bytes_received > MAX_HEADER_BYTES + MAX_BODY_BYTES:  # came in one piece
             raise ValueError("headers too large")
         lengths = [value for name, value in self.headers if name == b"content-length"]
         codings = [value for name, value in self.headers if name == b"transfer-encoding"]
@@ -306,17 +312,17 @@
         elif lengths:
             if len(lengths) > 1 or not lengths[0].isdigit():
                 raise ValueError("a length that can't be read")
-            if len(lengths[0]) > 15 or int(lengths[0]) > MOST_BODY:
+            if len(lengths[0]) > 15 or int(lengths[0]) > MAX_BODY_BYTES:
                 raise ValueError("body too large")
         elif code not in (204, 304):
             # It ends with the connection, if the backend says that it will: else there is no end to wait for.
             if not any(name == b"connection" and value.lower() == b"close" for name, value in self.headers):
                 raise ValueError("no length")
-            self.until_close = True
+            self.body_until_close = True
 
     def on_body(self, chunk: bytes) -> None:
-        self.size += len(chunk)
-        if self.size > MOST_BODY:
+        self.body_size += len(chunk)
+        if self.body_size > MAX_BODY_BYTES:
             raise ValueError("body too large")
         self.body.append(chunk)
 
@@ -325,46 +331,50 @@
         if 100 <= code < 200 and code != 101:
             self.headers = []  # an interim answer
         else:
-            self.answer = code, code != 101 and self.parser.should_keep_alive()  # known only here
+            self.pending_answer = code, code != 101 and self.parser.should_keep_alive()  # known only here
 
-    def begin(self, exchange: Exchange) -> None:
+    def start_exchange(self, exchange: Exchange) -> None:
         assert self.transport is not None
         self.exchange = exchange
-        self.rested = time.monotonic() - self.idle_since if self.carried else 0.0
-        self.carried += 1
-        exchange.rested = self.rested
+        self.idle_for = time.monotonic() - self.idle_since if self.exchange_count else 0.0
+        self.exchange_count += 1
+        exchange.idle_for = self.idle_for
         self.parser = httptools.HttpResponseParser(self)
         self.headers, self.body = [], []
-        self.raw = self.size = 0
-        self.head_done = self.until_close = False
-        data = exchange.request(max(0.0, exchange.ends_at - time.monotonic()))
-        exchange.tail = data[-1:]
+        self.bytes_received = self.body_size = 0
+        self.headers_complete = self.body_until_close = False
+        data = exchange.build_request(max(0.0, exchange.deadline - time.monotonic()))
+        exchange.last_byte = data[-1:]
         self.transport.write(data[:-1])
-        self.upstream.owner.loop.call_later(PROVE, self._finish, exchange)
+        self.upstream.owner.loop.call_later(LAST_BYTE_DELAY, self._send_last_byte, exchange)
 
-    def _finish(self, exchange: Exchange) -> None:
+    def _send_last_byte(self, exchange: Exchange) -> None:
         """The last byte: with it a request may run, and one that may have run can often not be sent again.
         So it goes only to a connection that took the others without breaking. What came meanwhile and lies
         unread was not asked for, and would be taken for the answer."""
-        if self.exchange is not exchange or self.transport is None or self.pending(ENDED | select.POLLIN):
+        if (
+            self.exchange is not exchange
+            or self.transport is None
+            or self.has_pending_events(HANGUP_EVENTS | select.POLLIN)
+        ):
             return
-        if time.monotonic() >= exchange.send_by:
+        if time.monotonic() >= exchange.send_deadline:
             exchange.end(Status.MOOT)
         elif self.transport.get_write_buffer_size():  # the peer takes its time with what comes before
-            self.upstream.owner.loop.call_later(PROVE, self._finish, exchange)
+            self.upstream.owner.loop.call_later(LAST_BYTE_DELAY, self._send_last_byte, exchange)
         else:
             exchange.sent = True
-            self.transport.write(exchange.tail)
+            self.transport.write(exchange.last_byte)
 
-    def _break_off(self, exchange: Exchange) -> None:
+    def _fail_unsent(self, exchange: Exchange) -> None:
         self.upstream.owner.counts["broken before the last byte"] += 1
-        exchange.not_sent(fresh=self.carried == 1)
+        exchange.on_broken_unsent(new_connection=self.exchange_count == 1)
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether bytes nobody asked for, or the connection's end, lie in its socket by now."""
-        return self.pending(select.POLLIN)
+        return self.has_pending_events(select.POLLIN)
 
-    def pending(self, events: int) -> bool:
+    def has_pending_events(self, events: int) -> bool:
         """Whether the connection ends, or the loop has yet to hear one of these events from its socket."""
         if self.transport is None or self.transport.is_closing():
             return True
@@ -374,11 +384,11 @@
 
     def abandon(self) -> None:
         self.exchange = None
-        self.upstream.forget(self)
+        self.upstream.remove_idle(self)
         if self.transport is not None:
             self.transport.abort()
 
-    def _spoilt(self) -> None:
+    def _end_malformed(self) -> None:
         """The backend answered, with something of no use: an error that may have run. Unlike a reset it says
         nothing of whether the backend is up."""
         exchange = self.exchange
@@ -391,58 +401,58 @@
 class Upstream:
     """One backend as discovery last listed it, with its connections."""
 
-    __slots__ = ("address", "connections", "heard_at", "idle", "owner", "started_at", "state")
+    __slots__ = ("address", "connections", "idle", "last_received_at", "owner", "started_at", "state")
 
     def __init__(self, owner: Upstreams, address: Address, started_at: float, state: ServerState) -> None:
         self.owner, self.address, self.started_at, self.state = owner, address, started_at, state
         self.connections: set[Connection] = set()
-        self.heard_at = 0.0  # when it last sent anything
+        self.last_received_at = 0.0  # when it last sent anything
         self.idle: list[Connection] = []
 
     @property
     def serving(self) -> bool:
         return self.state is ServerState.SERVING
 
-    def take_idle(self, trust: float) -> Connection | None:
+    def take_idle(self, max_idle_age: float) -> Connection | None:
         """The connection used last: the others grow old and are closed. One that was in use just now only
         where there is no other. None that has rested longer than is trusted."""
         now = time.monotonic()
-        oldest, settled = now - min(self.owner.idle_for, trust), now - SETTLE
+        min_idle_since, reusable_since = now - min(self.owner.idle_timeout, max_idle_age), now - REUSE_DELAY
         while self.idle:
-            place = len(self.idle) - 1
-            while place and self.idle[place].idle_since > settled:
-                place -= 1
-            if self.idle[place].idle_since > settled:
-                place = -1
-            connection = self.idle.pop(place)
+            index = len(self.idle) - 1
+            while index and self.idle[index].idle_since > reusable_since:
+                index -= 1
+            if self.idle[index].idle_since > reusable_since:
+                index = -1
+            connection = self.idle.pop(index)
             if connection.transport is not None and not connection.transport.is_closing():
-                if connection.idle_since > oldest:
+                if connection.idle_since > min_idle_since:
                     return connection
                 self.owner.counts["closed as too old"] += 1
                 connection.abandon()
         return None
 
-    def keep(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         if connection not in self.connections or not self.serving:
             connection.abandon()
             return
         connection.idle_since = time.monotonic()
         self.idle.append(connection)
 
-    def forget(self, connection: Connection) -> None:
+    def remove_idle(self, connection: Connection) -> None:
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def lost(self, connection: Connection) -> None:
-        self.forget(connection)
+    def on_connection_lost(self, connection: Connection) -> None:
+        self.remove_idle(connection)
         self.connections.discard(connection)
-        self.owner.made -= 1
+        self.owner.open_connections -= 1
 
     def close_idle(self, unused_since: float = float("inf")) -> None:
         for connection in [c for c in self.idle if c.idle_since <= unused_since]:
             connection.abandon()
 
-    def renew(self) -> None:
+    def drop_connections(self) -> None:
         """The process behind the address is another one: no connection may be inherited."""
         self.close_idle()
         self.connections.clear()  # those in use end with their exchange, in keep()
@@ -455,44 +465,44 @@
         self,
         connect_timeout: float,
         conn_idle: float,
-        most_open: int,
-        closed_at_rest: Callable[[Upstream, float], None] = lambda upstream, rested: None,
+        max_connections: int,
+        on_idle_closed: Callable[[Upstream, float], None] = lambda upstream, idle_for: None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout = connect_timeout
-        self.idle_for = IDLE_SHARE * conn_idle
-        self.most_open = most_open
-        self.closed_at_rest = closed_at_rest  # told of each idle connection that the other side ends
-        self.made = 0  # connections that are up
+        self.idle_timeout = IDLE_TIMEOUT_SHARE * conn_idle
+        self.max_connections = max_connections
+        self.on_idle_closed = on_idle_closed  # told of each idle connection that the other side ends
+        self.open_connections = 0  # connections that are up
         self.counts: Counter[str] = Counter()  # of connections, since the last line of figures
         self.by_id: dict[int, Upstream] = {}
-        self._connects: set[asyncio.Task[None]] = set()
-        self.loop.call_later(SWEEP, self._sweep)
+        self._connect_tasks: set[asyncio.Task[None]] = set()
+        self.loop.call_later(IDLE_SWEEP_INTERVAL, self._sweep)
 
     @property
-    def open(self) -> int:
+    def descriptors_in_use(self) -> int:
         """Descriptors in use or soon to be."""
-        return self.made + len(self._connects)
+        return self.open_connections + len(self._connect_tasks)
 
     @property
     def ready(self) -> bool:
         return any(upstream.serving for upstream in self.by_id.values())
 
     def apply(self, listing: Listing) -> None:
-        named = set()
+        listed_servers = set()
         for listed in listing.backends:
             entry = listed.entry
-            named.add(entry.server)
+            listed_servers.add(entry.server)
             upstream = self.by_id.get(entry.server)
             if upstream is None:
                 self.by_id[entry.server] = Upstream(self, listed.address, entry.started_at, entry.state)
                 continue
             if upstream.address != listed.address or entry.started_at > upstream.started_at:
-                upstream.renew()
+                upstream.drop_connections()
             upstream.address, upstream.started_at = listed.address, entry.started_at
             upstream.state = entry.state
         for server, upstream in list(self.by_id.items()):
-            if listing.whole and server not in named:
+            if listing.full and server not in listed_servers:
                 upstream.state = ServerState.GONE
             if not upstream.serving:
                 upstream.close_idle()
@@ -501,23 +511,23 @@
 
     def start(self, exchange: Exchange) -> None:
         upstream = exchange.upstream
-        connection = upstream.take_idle(exchange.trust)
+        connection = upstream.take_idle(exchange.max_idle_age)
         if connection is not None:
-            wait = connection.idle_since + SETTLE - time.monotonic()
+            wait = connection.idle_since + REUSE_DELAY - time.monotonic()
             if wait > 0:
-                self.loop.call_later(wait, self._use, exchange, connection)
+                self.loop.call_later(wait, self._reuse, exchange, connection)
             else:
-                self._use(exchange, connection)
-        elif self.open >= self.most_open and not self._spare_one():
+                self._reuse(exchange, connection)
+        elif self.descriptors_in_use >= self.max_connections and not self._evict_idle():
             exchange.end(Status.MOOT)  # this proxy's own bound: no fault of the backend's
         else:
             task = self.loop.create_task(self._connect(exchange, upstream))
-            self._connects.add(task)
-            task.add_done_callback(self._connects.discard)
+            self._connect_tasks.add(task)
+            task.add_done_callback(self._connect_tasks.discard)
 
-    def _use(self, exchange: Exchange, connection: Connection) -> None:
+    def _reuse(self, exchange: Exchange, connection: Connection) -> None:
         """Bytes that lie unread would be taken for the answer to what is sent now."""
-        if connection in connection.upstream.connections and not connection.unread():
+        if connection in connection.upstream.connections and not connection.has_unread_data():
             exchange.run_on(connection)
             return
         connection.abandon()
@@ -526,33 +536,33 @@
 
     async def _connect(self, exchange: Exchange, upstream: Upstream) -> None:
         connection = Connection(upstream)
-        at, since = upstream.address, upstream.started_at
+        address, started_at = upstream.address, upstream.started_at
         try:
-            await self._open(connection, at)
-            if (at, since) != (upstream.address, upstream.started_at):
+            await self._open_connection(connection, address)
+            if (address, started_at) != (upstream.address, upstream.started_at):
                 raise ConnectionError("the backend is another one by now")
             if connection.transport is None:
                 raise ConnectionError("lost as soon as made")
             upstream.connections.add(connection)
             exchange.run_on(connection)
-        except (OSError, TimeoutError) as fault:
+        except (OSError, TimeoutError) as error:
             connection.abandon()
             # What this machine lacks is no fault of the backend's.
-            own = isinstance(fault, OSError) and fault.errno in OWN_FAULTS
-            exchange.end(Status.MOOT if own else Status.CONNECT_FAILED)
+            local = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
+            exchange.end(Status.MOOT if local else Status.CONNECT_FAILED)
         except Exception:
-            log.exception("attempt_failed", id=exchange.id or None, backend="{}:{}".format(*at))
+            log.exception("attempt_failed", id=exchange.id or None, backend="{}:{}".format(*address))
             connection.abandon()
             exchange.end(Status.RESET)
 
-    async def _open(self, connection: Connection, at: Address) -> None:
+    async def _open_connection(self, connection: Connection, address: Address) -> None:
         """Raises OSError, TimeoutError too. Where this process stood still, its timers come before its
         sockets: the connection may have come up long ago."""
-        due = time.monotonic() + self.connect_timeout
-        opening = self.loop.create_task(self.loop.create_connection(lambda: connection, *at))
+        timer_due = time.monotonic() + self.connect_timeout
+        opening = self.loop.create_task(self.loop.create_connection(lambda: connection, *address))
         await asyncio.wait([opening], timeout=self.connect_timeout)
-        if not opening.done() and time.monotonic() > due + LATE:
-            await asyncio.wait([opening], timeout=ONE_TURN)
+        if not opening.done() and time.monotonic() > timer_due + STALL_THRESHOLD:
+            await asyncio.wait([opening], timeout=NEXT_LOOP_ITERATION)
         if not opening.done():
             opening.cancel()
             await asyncio.wait([opening])
@@ -560,7 +570,7 @@
             raise TimeoutError
         opening.result()
 
-    def _spare_one(self) -> bool:
+    def _evict_idle(self) -> bool:
         """At the bound, the connection that is idle the longest makes room."""
         idle = [c for upstream in self.by_id.values() for c in upstream.idle[:1]]
         if not idle:
@@ -569,7 +579,7 @@
         return True
 
     def _sweep(self) -> None:
-        oldest = time.monotonic() - self.idle_for
+        min_idle_since = time.monotonic() - self.idle_timeout
         for upstream in self.by_id.values():
-            upstream.close_idle(oldest)
-        self.loop.call_later(SWEEP, self._sweep)
+            upstream.close_idle(min_idle_since)
+        self.loop.call_later(IDLE_SWEEP_INTERVAL, self._sweep)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -17,10 +17,10 @@
 from granitepoint.interface import ServerEntry, ServerState, Status
 from granitepoint.net import upstream as up
 from granitepoint.net.driver import read_report
-from granitepoint.net.listing import Listed, Listing
+from granitepoint.net.listing import ListedBackend, Listing
 
 OK = b"HTTP/1.1 200 OK\r\n"
-BAD = {
+MALFORMED_ANSWERS = {
     "noise": b"\x00\x17\x88 noise, and no more",
     "a bad status": b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
     "negative length": OK + b"Content-Length: -5\r\n\r\nhello",
@@ -35,7 +35,7 @@
     "bad chunk": OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\nhello",
     "upgrade": b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
 }
-ENDLESS = {
+ENDLESS_ANSWERS = {
     "head": (OK + b"X-Long: ", b"a" * 1000),
     "headers": (OK, b"X-More: a\r\n" * 100),
     "1xx": (b"", b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n" * 30),
@@ -45,41 +45,41 @@
 }
 
 
-async def failed_at_once(backend: Backend) -> None:
+async def assert_attempt_fails_at_once(backend: Backend) -> None:
     """The budget and the attempt's time are seconds: only the answer itself can end it this soon."""
     async with proxy({"s-1": backend}) as node:
         caller = await node.caller()
-        begun = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         reply = await caller.call("canje", "a" * 16, budget="5000m")
         assert reply.code == 502 and "retry-after" not in reply.headers
-        assert asyncio.get_running_loop().time() - begun < 1.5
+        assert asyncio.get_running_loop().time() - started < 1.5
         assert backend.count == 1
         async with asyncio.timeout(PATIENCE):
             await backend.closed.get()
 
 
-@pytest.mark.parametrize("spoilt", BAD.values(), ids=BAD)
-def test_a_spoilt_answer_ends_its_attempt_at_once(spoilt: bytes) -> None:
+@pytest.mark.parametrize("malformed", MALFORMED_ANSWERS.values(), ids=MALFORMED_ANSWERS)
+def test_a_spoilt_answer_ends_its_attempt_at_once(malformed: bytes) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        writer.write(spoilt)
+        writer.write(malformed)
 
-    run(failed_at_once(Backend(behave)))
+    run(assert_attempt_fails_at_once(Backend(behave)))
 
 
-@pytest.mark.parametrize(("begin", "more"), ENDLESS.values(), ids=ENDLESS)
-def test_an_answer_without_end_is_cut_off(begin: bytes, more: bytes) -> None:
+@pytest.mark.parametrize(("start", "repeated"), ENDLESS_ANSWERS.values(), ids=ENDLESS_ANSWERS)
+def test_an_answer_without_end_is_cut_off(start: bytes, repeated: bytes) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        writer.write(begin)
+        writer.write(start)
         with contextlib.suppress(ConnectionError):
             while True:
-                writer.write(more)
+                writer.write(repeated)
                 await writer.drain()
                 await asyncio.sleep(0.001)
 
-    run(failed_at_once(Backend(behave)))
+    run(assert_attempt_fails_at_once(Backend(behave)))
 
 
-GOOD = {
+VALID_ANSWERS = {
     "1xx ahead": (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                   + OK + b"Content-Length: 2\r\n\r\nme", True),
     "chunks and a trailer": (OK + b"Transfer-Encoding: chunked\r\n\r\n2\r\nme\r\n0\r\nX-T: 1\r\n\r\n", True),
@@ -92,8 +92,8 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize(("answer", "kept"), GOOD.values(), ids=GOOD)
-def test_a_good_answer_is_served_and_what_came_behind_it_is_not(answer: bytes, kept: bool) -> None:
+@pytest.mark.parametrize(("answer", "reused"), VALID_ANSWERS.values(), ids=VALID_ANSWERS)
+def test_a_good_answer_is_served_and_what_came_behind_it_is_not(answer: bytes, reused: bool) -> None:
     async def test() -> None:
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
@@ -107,7 +107,7 @@
             for number in range(3):
                 assert (await caller.call("canje", f"{number:016x}")).body == b"other"
             numbers = [(await backend.calls.get()).connection for _ in range(4)]
-            assert (numbers[0] == numbers[1]) == kept
+            assert (numbers[0] == numbers[1]) == reused
 
     run(test())
 
@@ -127,13 +127,13 @@
     run(test())
 
 
-async def whole_request(backend: socket.socket) -> None:
+async def receive_request(backend: socket.socket) -> None:
     """A backend begins a request when its last byte has come."""
-    come = b""
-    while not come.endswith(b"\r\n\r\n"):
+    received = b""
+    while not received.endswith(b"\r\n\r\n"):
         part = await asyncio.get_running_loop().sock_recv(backend, 1000)
         assert part
-        come += part
+        received += part
 
 
 def reset(backend: socket.socket) -> None:
@@ -152,37 +152,39 @@
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        owner = up.Upstreams(1.0, 30.0, most_open=10)
+        owner = up.Upstreams(1.0, 30.0, max_connections=10)
         entry = ServerEntry(server=1, state=ServerState.SERVING)
-        owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry)]))
-        ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
+        owner.apply(Listing(1, True, [ListedBackend(listener.getsockname(), entry)]))
+        finished: asyncio.Queue[up.Exchange] = asyncio.Queue()
 
         def start() -> None:
             request = b"POST /canje HTTP/1.1\r\n\r\n"
-            owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, ended.put_nowait))
+            owner.start(
+                up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, finished.put_nowait)
+            )
 
         async with asyncio.timeout(PATIENCE):
             if not answers_before:
-                monkeypatch.setattr(up, "PROVE", PATIENCE)  # the break comes before the last byte
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY", PATIENCE)  # the break comes before the last byte
             start()
             backend, _ = await loop.sock_accept(listener)
             for _ in range(answers_before):
-                await whole_request(backend)
+                await receive_request(backend)
                 backend.sendall(response(200, b"first"))
-                assert (await ended.get()).body == b"first"
-                monkeypatch.setattr(up, "PROVE", PATIENCE)
+                assert (await finished.get()).body == b"first"
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY", PATIENCE)
                 start()
             assert await loop.sock_recv(backend, 1000)
-            monkeypatch.setattr(up, "PROVE", 0.001)
+            monkeypatch.setattr(up, "LAST_BYTE_DELAY", 0.001)
             reset(backend)
             if answers_before:
                 backend, _ = await loop.sock_accept(listener)
-                await whole_request(backend)
+                await receive_request(backend)
                 backend.sendall(response(200, b"second"))
-                last = await ended.get()
+                last = await finished.get()
                 assert last.status is Status.OK and last.body == b"second"
             else:
-                last = await ended.get()
+                last = await finished.get()
                 assert last.status is Status.CONNECT_FAILED and not last.sent
             assert owner.counts["broken before the last byte"] == 1
         backend.close()
@@ -194,32 +196,34 @@
 def test_a_connection_that_rested_longer_than_is_trusted_is_closed() -> None:
     async def test() -> None:
         backend = await Backend().start()
-        seen: asyncio.Queue[float] = asyncio.Queue()
-        owner = up.Upstreams(1.0, 30.0, 10, lambda _, rested: seen.put_nowait(rested))
+        idle_times: asyncio.Queue[float] = asyncio.Queue()
+        owner = up.Upstreams(1.0, 30.0, 10, lambda _, idle_for: idle_times.put_nowait(idle_for))
         host, _, port = backend.address.rpartition(":")
         entry = ServerEntry(server=1, state=ServerState.SERVING)
-        owner.apply(Listing(1, True, [Listed((host, int(port)), entry)]))
-        ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
+        owner.apply(Listing(1, True, [ListedBackend((host, int(port)), entry)]))
+        finished: asyncio.Queue[up.Exchange] = asyncio.Queue()
 
-        async def rested(trust: float) -> float | None:
+        async def idle_time_of_next_exchange(max_idle_age: float) -> float | None:
             request = b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
             owner.start(
-                up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, ended.put_nowait, trust)
+                up.Exchange(
+                    owner.by_id[1], lambda _: request, 5.0, lambda: True, finished.put_nowait, max_idle_age
+                )
             )
-            return (await ended.get()).rested
+            return (await finished.get()).idle_for
 
         async with asyncio.timeout(PATIENCE):
-            assert await rested(5.0) == 0.0
+            assert await idle_time_of_next_exchange(5.0) == 0.0
             owner.by_id[1].idle[0].idle_since -= 4.0
-            kept = await rested(5.0)
-            assert kept is not None and kept >= 4.0 and backend.connections == 1
+            idle_for = await idle_time_of_next_exchange(5.0)
+            assert idle_for is not None and idle_for >= 4.0 and backend.connections == 1
             owner.by_id[1].idle[0].idle_since -= 6.0
-            assert await rested(5.0) == 0.0
+            assert await idle_time_of_next_exchange(5.0) == 0.0
             assert await backend.closed.get() == 1 and backend.connections == 2
-            assert seen.empty()  # this side closed it
+            assert idle_times.empty()  # this side closed it
             owner.by_id[1].idle[0].idle_since -= 3.0
             await backend.stop()
-            assert await seen.get() >= 3.0
+            assert await idle_times.get() >= 3.0
 
     run(test())
 
@@ -231,17 +235,17 @@
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        owner = up.Upstreams(1.0, 30.0, most_open=10)
+        owner = up.Upstreams(1.0, 30.0, max_connections=10)
         entry = ServerEntry(server=1, state=ServerState.SERVING)
-        owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry)]))
-        ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
+        owner.apply(Listing(1, True, [ListedBackend(listener.getsockname(), entry)]))
+        finished: asyncio.Queue[up.Exchange] = asyncio.Queue()
 
         def start() -> None:
             def done(exchange: up.Exchange) -> None:
-                if ended.empty() and exchange.body == b"old":
+                if finished.empty() and exchange.body == b"old":
                     backend.sendall(response(200, b"old"))
                     start()
-                ended.put_nowait(exchange)
+                finished.put_nowait(exchange)
 
             request = b"GET /stock HTTP/1.1\r\n\r\n"
             owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, done))
@@ -249,15 +253,15 @@
         async with asyncio.timeout(PATIENCE):
             start()
             backend, _ = await loop.sock_accept(listener)
-            await whole_request(backend)
+            await receive_request(backend)
             backend.sendall(response(200, b"old"))
-            assert (await ended.get()).body == b"old"
+            assert (await finished.get()).body == b"old"
             second, _ = await loop.sock_accept(listener)
-            await whole_request(second)
+            await receive_request(second)
             second.sendall(response(200, b"new"))
-            assert (await ended.get()).body == b"new"
-        for each in (backend, second, listener):
-            each.close()
+            assert (await finished.get()).body == b"new"
+        for item in (backend, second, listener):
+            item.close()
 
     run(test())
 
@@ -270,8 +274,8 @@
     async def test() -> None:
         backend = await Backend().start()
         host, _, port = backend.address.rpartition(":")
-        owner = up.Upstreams(0.02, 30.0, most_open=10)
-        owner.apply(Listing(1, True, [Listed((host, int(port)), ServerEntry(server=1))]))
+        owner = up.Upstreams(0.02, 30.0, max_connections=10)
+        owner.apply(Listing(1, True, [ListedBackend((host, int(port)), ServerEntry(server=1))]))
         connect = owner.loop.create_connection
 
         async def stalled(factory: Any, host: str, port: int) -> Any:
@@ -281,11 +285,11 @@
             return await connecting
 
         monkeypatch.setattr(owner.loop, "create_connection", stalled)
-        ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
+        finished: asyncio.Queue[up.Exchange] = asyncio.Queue()
         request = b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
-        owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, ended.put_nowait))
+        owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, finished.put_nowait))
         async with asyncio.timeout(PATIENCE):
-            assert (await ended.get()).status is Status.OK
+            assert (await finished.get()).status is Status.OK
         await backend.stop()
 
     run(test())
@@ -294,40 +298,40 @@
 def test_bytes_before_the_last_byte_never_answer_the_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """A second answer arrives between a request and its last byte, and that is written before the loop reads:
     timers come first where the process stood still."""
-    begin = up.Connection.begin
+    start_exchange = up.Connection.start_exchange
     backends: list[socket.socket] = []
 
     def stalled(connection: up.Connection, exchange: up.Exchange) -> None:
-        begin(connection, exchange)
-        if connection.carried == 2:
+        start_exchange(connection, exchange)
+        if connection.exchange_count == 2:
             backends[0].sendall(response(200, b"old"))
-            while not connection.unread():
+            while not connection.has_unread_data():
                 pass
-            connection._finish(exchange)
+            connection._send_last_byte(exchange)
 
-    monkeypatch.setattr(up.Connection, "begin", stalled)
+    monkeypatch.setattr(up.Connection, "start_exchange", stalled)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        owner = up.Upstreams(1.0, 30.0, most_open=10)
+        owner = up.Upstreams(1.0, 30.0, max_connections=10)
         entry = ServerEntry(server=1, state=ServerState.SERVING)
-        owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry)]))
-        ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
+        owner.apply(Listing(1, True, [ListedBackend(listener.getsockname(), entry)]))
+        finished: asyncio.Queue[up.Exchange] = asyncio.Queue()
         request = b"GET /stock HTTP/1.1\r\n\r\n"
         async with asyncio.timeout(PATIENCE):
             for body in (b"old", b"new"):
-                at = owner.by_id[1]
-                owner.start(up.Exchange(at, lambda _: request, 5.0, lambda: True, ended.put_nowait))
+                upstream = owner.by_id[1]
+                owner.start(up.Exchange(upstream, lambda _: request, 5.0, lambda: True, finished.put_nowait))
                 backend, _ = await loop.sock_accept(listener)
                 backends.append(backend)
-                await whole_request(backend)
+                await receive_request(backend)
                 backend.sendall(response(200, body))
-                assert (await ended.get()).body == body
+                assert (await finished.get()).body == body
         assert owner.counts["broken before the last byte"] == 1
-        for each in (*backends, listener):
-            each.close()
+        for item in (*backends, listener):
+            item.close()
 
     run(test())
 
@@ -338,23 +342,23 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
-        owner = up.Upstreams(1.0, 30.0, most_open=10)
+        owner = up.Upstreams(1.0, 30.0, max_connections=10)
         entry = ServerEntry(server=1, state=ServerState.SERVING)
-        owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry)]))
-        ended: asyncio.Future[up.Connection] = loop.create_future()
+        owner.apply(Listing(1, True, [ListedBackend(listener.getsockname(), entry)]))
+        finished: asyncio.Future[up.Connection] = loop.create_future()
 
         def done(exchange: up.Exchange) -> None:
             connection = next(iter(owner.by_id[1].connections))
             assert isinstance(connection.parser, httptools.HttpResponseParser)
-            ended.set_result(connection)
+            finished.set_result(connection)
 
         request = b"GET / HTTP/1.1\r\n\r\n"
         owner.start(up.Exchange(owner.by_id[1], lambda _: request, 0.05, lambda: True, done))
         async with asyncio.timeout(PATIENCE):
-            connection = await ended
+            connection = await finished
             while connection.transport is not None:
                 await asyncio.sleep(0)
-        assert connection.parser is None and not owner.by_id[1].connections and owner.open == 0
+        assert connection.parser is None and not owner.by_id[1].connections and owner.descriptors_in_use == 0
         listener.close()
 
     run(test())
@@ -377,19 +381,21 @@
         async with proxy(backends) as node:
             callers = [await node.caller() for _ in range(4)]
             for number in range(6):
-                for place, caller in enumerate(callers):
-                    caller.send("canje", f"{number:015x}{place}")
+                for position, caller in enumerate(callers):
+                    caller.send("canje", f"{number:015x}{position}")
                 assert [(await caller.answer()).code for caller in callers] == [200] * 4
             before = [backend.count for backend in backends.values()]
             assert (await callers[0].call("canje", "dead" + "0" * 12)).code == 502
-            struck = next(b for b, count in zip(backends.values(), before, strict=True) if b.count > count)
-            count = struck.count
+            reset_backend = next(
+                b for b, count in zip(backends.values(), before, strict=True) if b.count > count
+            )
+            count = reset_backend.count
             for number, caller in enumerate(callers):
                 caller.send("canje", f"hold{number:012x}", budget="5000m")
             async with asyncio.timeout(PATIENCE):
                 while sum(backend.count for backend in backends.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
-            assert struck.count > count
+            assert reset_backend.count > count
             release.set()
             assert [(await caller.answer()).code for caller in callers] == [200] * 4
 
@@ -410,8 +416,8 @@
             else:
                 writer.write(response(200, b"done"))
 
-        sound = Backend()
-        async with proxy({"s-1": Backend(behave), "s-2": sound}) as node:
+        healthy = Backend()
+        async with proxy({"s-1": Backend(behave), "s-2": healthy}) as node:
             caller = await node.caller()
             for number in range(40):
                 assert (await caller.call("canje", f"c{number:015x}")).code == 200
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -29,55 +29,76 @@
     Timer,
 )
 
-MULTIPLE, WITHIN, COLD_FROM, COLD_FOR = 3.0, 2.0, 0.39, 8.0
-COLD, BEGINS, ENDS = 99, 12.0, 20.0
+LOAD_MULTIPLE, LOAD_WINDOW, COLD_CAPACITY, WARM_UP_TIME = 3.0, 2.0, 0.39, 8.0
+COLD_SERVER, COLD_START, END = 99, 12.0, 20.0
 
 
-def sends_to_cold(instances: int, warm: int, work: float, busy: float, seed: int) -> list[float]:
+def sends_to_cold(instances: int, warm: int, work: float, utilization: float, seed: int) -> list[float]:
     """When the cold server gets calls. Traffic is uneven; from its start on there is half as much again."""
-    chance, order = Random(seed), count()
+    random, sequence = Random(seed), count()
     cls = RequestClass("once", worth=1, aim=1.2, deadline=3.0, late_worth=0.5, effect=Effect.ONCE)
-    weights = [0.2 + chance.expovariate(1) for _ in range(instances)]
-    rates = [busy / work * (warm + 1) * weight / sum(weights) for weight in weights]
-    due: list[tuple[float, int, int, Event | None]] = []
+    weights = [0.2 + random.expovariate(1) for _ in range(instances)]
+    rates = [utilization / work * (warm + 1) * weight / sum(weights) for weight in weights]
+    schedule_heap: list[tuple[float, int, int, Event | None]] = []
 
-    def later(at: float, instance: int, event: Event | None) -> None:
-        heapq.heappush(due, (at, next(order), instance, event))
+    def schedule(send_time: float, instance: int, event: Event | None) -> None:
+        heapq.heappush(schedule_heap, (send_time, next(sequence), instance, event))
 
-    many: list[Balancer] = []
-    for me in range(instances):
-        more: dict[str, Any] = {"fall_multiple": MULTIPLE, "fall_within": WITHIN, "cold_from": COLD_FROM}
-        setup = settings(classes=[cls], me=me, balancers=instances, cold_for=COLD_FOR, may_probe=True, **more)
-        many.append(Balancer(setup, seed * 1000 + me))
-        many[-1].admission.window = 50.0  # what limits is the ramp alone
-        later(0.0, me, ServerList(ListKind.SAVED, [ServerEntry(s, zone="a") for s in range(warm)]))
-        told = ServerList(ListKind.INCREMENTAL, [ServerEntry(COLD, zone="a", started_at=BEGINS)])
-        later(BEGINS + 0.3 * chance.random(), me, told)
-        later(chance.expovariate(rates[me]), me, None)
-    held: dict[int, list[float]] = {}  # by server: when its calls end, one after another
-    cold: list[float] = []
+    balancers: list[Balancer] = []
+    for instance in range(instances):
+        cold_settings: dict[str, Any] = {
+            "fall_multiple": LOAD_MULTIPLE,
+            "fall_within": LOAD_WINDOW,
+            "cold_from": COLD_CAPACITY,
+        }
+        balancer_settings = settings(
+            classes=[cls],
+            me=instance,
+            balancers=instances,
+            cold_for=WARM_UP_TIME,
+            may_probe=True,
+            **cold_settings,
+        )
+        balancers.append(Balancer(balancer_settings, seed * 1000 + instance))
+        balancers[-1].admission.window = 50.0  # what limits is the ramp alone
+        schedule(0.0, instance, ServerList(ListKind.SAVED, [ServerEntry(s, zone="a") for s in range(warm)]))
+        cold_server_list = ServerList(
+            ListKind.INCREMENTAL, [ServerEntry(COLD_SERVER, zone="a", started_at=COLD_START)]
+        )
+        schedule(COLD_START + 0.3 * random.random(), instance, cold_server_list)
+        schedule(random.expovariate(rates[instance]), instance, None)
+    call_ends_by_server: dict[int, list[float]] = {}  # by server: when its calls end, one after another
+    cold_sends: list[float] = []
     calls = count()
-    while due[0][0] < ENDS:
-        now, _, me, event = heapq.heappop(due)
+    while schedule_heap[0][0] < END:
+        now, _, instance, event = heapq.heappop(schedule_heap)
         if event is None:
-            later(now + chance.expovariate(rates[me] * (1.5 if now >= BEGINS else 1.0)), me, None)
+            schedule(
+                now + random.expovariate(rates[instance] * (1.5 if now >= COLD_START else 1.0)),
+                instance,
+                None,
+            )
             event = Arrival(next(calls), "once", 3.0)
-        for action in many[me].handle(now, [event]):
+        for action in balancers[instance].handle(now, [event]):
             if isinstance(action, SetTimer):
-                later(now + action.delay, me, Timer(action.token))
+                schedule(now + action.delay, instance, Timer(action.token))
             elif isinstance(action, Probe):
-                report = {"busy_reqs": 0.0 if action.server == COLD else 20.0}  # it looks idle to all
-                later(now, me, Probed(action.server, Status.OK, 0.0, report))
+                report = {"busy_reqs": 0.0 if action.server == COLD_SERVER else 20.0}  # it looks idle to all
+                schedule(now, instance, Probed(action.server, Status.OK, 0.0, report))
             elif isinstance(action, Send):
-                ends = held[action.server] = [end for end in held.get(action.server, []) if end > now]
-                ends.append(max([now, *ends]) + chance.expovariate(1 / work))
-                took = min(ends[-1] - now, action.timeout)
-                status = Status.OK if took < action.timeout else Status.TIMEOUT
+                call_ends = call_ends_by_server[action.server] = [
+                    end for end in call_ends_by_server.get(action.server, []) if end > now
+                ]
+                call_ends.append(max([now, *call_ends]) + random.expovariate(1 / work))
+                duration = min(call_ends[-1] - now, action.timeout)
+                status = Status.OK if duration < action.timeout else Status.TIMEOUT
                 ended = status is Status.OK
-                later(now + took, me, Outcome(action.call, 0, action.server, status, took, ended))
-                if action.server == COLD:
-                    cold.append(now)
-    return cold
+                schedule(
+                    now + duration, instance, Outcome(action.call, 0, action.server, status, duration, ended)
+                )
+                if action.server == COLD_SERVER:
+                    cold_sends.append(now)
+    return cold_sends
 
 
 @pytest.mark.parametrize(
@@ -86,10 +107,14 @@
 def test_all_instances_together_keep_a_cold_server_s_budget(instances: int, warm: int, work: float) -> None:
     """What chance may add to a budget of N calls is 2 x root of N + 2, however many instances send."""
     for seed in (1, 2):
-        cold = sends_to_cold(instances, warm, work, 0.9, seed)
-        assert len(cold) > 3
-        for begin in cold:
-            capacity = COLD_FROM + (1 - COLD_FROM) * min(1.0, (begin - BEGINS) / COLD_FOR)
-            budget = MULTIPLE * capacity * WITHIN / work
-            sent = sum(1 for at in cold if begin <= at < begin + WITHIN)
-            assert sent <= budget + 2 * math.sqrt(budget) + 2, (begin, sent, budget)
+        cold_sends = sends_to_cold(instances, warm, work, 0.9, seed)
+        assert len(cold_sends) > 3
+        for window_start in cold_sends:
+            capacity = COLD_CAPACITY + (1 - COLD_CAPACITY) * min(
+                1.0, (window_start - COLD_START) / WARM_UP_TIME
+            )
+            budget = LOAD_MULTIPLE * capacity * LOAD_WINDOW / work
+            sent = sum(
+                1 for send_time in cold_sends if window_start <= send_time < window_start + LOAD_WINDOW
+            )
+            assert sent <= budget + 2 * math.sqrt(budget) + 2, (window_start, sent, budget)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -17,7 +17,7 @@
 from granitepoint.net.server import Request
 
 
-class NoReply:
+class UnusedReply:
     def answer(self, code: int, headers: Any, body: bytes) -> None:
         raise AssertionError("nothing is answered here")
 
@@ -25,7 +25,7 @@
         return False
 
 
-def request(came: float) -> Request:
+def request(received_at: float) -> Request:
     return Request(
         id=b"1",
         cls="safe",
@@ -36,7 +36,7 @@
         resent=False,
         head=b"",
         body=b"",
-        came=came,
+        came=received_at,
     )
 
 
@@ -48,18 +48,18 @@
         nowhere = ("127.0.0.1", 9)
         config = Config("n0", nowhere, nowhere, 1, sockets=256, memory_mb=64.0, known={}, settings=settings())
         driver = Driver(config)
-        left = {0.1: 0.096, 0.5: 0.48, 1.0: 0.96, 1.9: 1.86}
-        for number, (budget, told) in enumerate(left.items()):
-            asked = request(100.0)
-            asked.id, asked.budget = b"%d" % number, budget
-            driver.opened(asked, NoReply())
+        expected_budgets = {0.1: 0.096, 0.5: 0.48, 1.0: 0.96, 1.9: 1.86}
+        for number, (budget, expected) in enumerate(expected_budgets.items()):
+            client_request = request(100.0)
+            client_request.id, client_request.budget = b"%d" % number, budget
+            driver.opened(client_request, UnusedReply())
             arrival = driver.events[-1]
-            assert isinstance(arrival, Arrival) and arrival.budget == pytest.approx(told)
+            assert isinstance(arrival, Arrival) and arrival.budget == pytest.approx(expected)
         for call in driver.calls.values():
             assert call.timer is not None
             call.timer.cancel()
-        if isinstance(driver.flush_at, asyncio.Handle):
-            driver.flush_at.cancel()
+        if isinstance(driver.flush_handle, asyncio.Handle):
+            driver.flush_handle.cancel()
 
     run(test())
 
@@ -71,25 +71,29 @@
         nowhere = ("127.0.0.1", 9)
         config = Config("n0", nowhere, nowhere, 1, sockets=256, memory_mb=64.0, known={}, settings=settings())
         driver = Driver(config)
-        driver.opened(request(time.monotonic()), NoReply())
-        usual = driver.events[-1]
-        assert isinstance(usual, Arrival) and usual.budget > 1.5
-        assert usual.stated == 1.9
-        held = request(time.monotonic() - 0.4)  # it lay unread while this process stood still
-        held.id = b"3"
-        driver.opened(held, NoReply())
-        late = driver.events[-1]
-        assert isinstance(late, Arrival) and late.budget < 1.5 and late.stated == 1.9
-        driver.end_by = time.monotonic() + 0.5
+        driver.opened(request(time.monotonic()), UnusedReply())
+        first = driver.events[-1]
+        assert isinstance(first, Arrival) and first.budget > 1.5
+        assert first.stated == 1.9
+        delayed = request(time.monotonic() - 0.4)  # it lay unread while this process stood still
+        delayed.id = b"3"
+        driver.opened(delayed, UnusedReply())
+        delayed_arrival = driver.events[-1]
+        assert (
+            isinstance(delayed_arrival, Arrival)
+            and delayed_arrival.budget < 1.5
+            and delayed_arrival.stated == 1.9
+        )
+        driver.shutdown_deadline = time.monotonic() + 0.5
         second = request(time.monotonic())
         second.id = b"2"
-        driver.opened(second, NoReply())
+        driver.opened(second, UnusedReply())
         last = driver.events[-1]
         assert isinstance(last, Arrival) and last.budget <= 0.5
         for call in driver.calls.values():
             assert call.timer is not None
             call.timer.cancel()
-        if isinstance(driver.flush_at, asyncio.Handle):
-            driver.flush_at.cancel()
+        if isinstance(driver.flush_handle, asyncio.Handle):
+            driver.flush_handle.cancel()
 
     run(test())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -185,7 +185,7 @@
             here.lists("Ready")
             await here.served(SECOND)
             assert (await next_call(here.backend)).headers["x-call-id"] == SECOND
-            assert here.backend.count == 1 and not here.driver.ids
+            assert here.backend.count == 1 and not here.driver.active_ids
 
     run(test())
 
@@ -215,7 +215,7 @@
             up.set()
             assert (await other.call("stock", SECOND)).code == 200
             assert (await next_call(here.backend)).headers["x-call-id"] == SECOND
-            assert here.backend.count == 1 and not here.driver.ids
+            assert here.backend.count == 1 and not here.driver.active_ids
 
     run(test())
 
@@ -235,9 +235,9 @@
             here.driver.balancer.health.confirm()  # so that it waits for no health check, slow too
             monkeypatch.setattr(here.driver.upstreams.loop, "create_connection", slow)
             caller.send("canje", FIRST, budget="6000m")
-            await here.until(lambda: bool(here.driver.out))
-            (exchange,) = here.driver.out.values()
-            exchange.ends_at -= 4.0  # as if the connect had taken so long
+            await here.until(lambda: bool(here.driver.in_flight))
+            (exchange,) = here.driver.in_flight.values()
+            exchange.deadline -= 4.0  # as if the connect had taken so long
             up.set()
             told = (await next_call(here.backend)).headers["x-budget"]
             assert 0 < int(told[:-1]) <= 2_000_000
@@ -270,19 +270,19 @@
             caller.send("reserva", FIRST, budget="4000m")
             await next_call(here.backend)
             monkeypatch.setattr(here.driver.loop, "create_connection", held)
-            await here.until(lambda: any(call.ran for call in here.driver.calls.values()))
-            await here.until(lambda: bool(here.driver.out))
-            (exchange,) = here.driver.out.values()
-            assert exchange.send_by < exchange.started_at + 6.0  # the window of the class
+            await here.until(lambda: any(call.may_have_run for call in here.driver.calls.values()))
+            await here.until(lambda: bool(here.driver.in_flight))
+            (exchange,) = here.driver.in_flight.values()
+            assert exchange.send_deadline < exchange.started_at + 6.0  # the window of the class
             if moment == "before its last byte":
-                monkeypatch.setattr(up, "PROVE", PATIENCE)
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY", PATIENCE)
                 connect_held.set()
                 await here.until(lambda: exchange.connection is not None)
-                exchange.send_by = 0.0
+                exchange.send_deadline = 0.0
                 assert exchange.connection is not None
-                exchange.connection._finish(exchange)
+                exchange.connection._send_last_byte(exchange)
             else:
-                exchange.send_by = 0.0
+                exchange.send_deadline = 0.0
                 connect_held.set()
             assert (await caller.answer()).code in (502, 504)
             assert exchange.status is Status.MOOT and not exchange.sent and here.backend.count == 1
@@ -315,7 +315,7 @@
             here.lists("Ready")
             await here.served(SECOND)
             assert (await next_call(here.backend)).headers["x-call-id"] == SECOND
-            assert here.backend.count == 2 and not here.driver.ids
+            assert here.backend.count == 2 and not here.driver.active_ids
 
     run(test())
 
@@ -361,29 +361,29 @@
             last = await attempt(here)
             caller = socket.create_connection(("127.0.0.1", here.port))
             started, begun = 0, []
-            run_on, begin = up.Exchange.run_on, up.Connection.begin
+            run_on, begin = up.Exchange.run_on, up.Connection.start_exchange
 
             def leave_first(exchange: up.Exchange, connection: up.Connection) -> None:
                 nonlocal started
-                if FIRST.encode() in exchange.request(1.0):
+                if FIRST.encode() in exchange.build_request(1.0):
                     started += 1
                     if started == last:
                         end(caller)
                 run_on(exchange, connection)
 
             def note(connection: up.Connection, exchange: up.Exchange) -> None:
-                begun.append(exchange.request(1.0))
+                begun.append(exchange.build_request(1.0))
                 begin(connection, exchange)
 
             monkeypatch.setattr(up.Exchange, "run_on", leave_first)
-            monkeypatch.setattr(up.Connection, "begin", note)
+            monkeypatch.setattr(up.Connection, "start_exchange", note)
             head = b"POST /canje HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget: 6000m\r\n" % FIRST.encode()
             caller.sendall(head + b"Content-Length: 0\r\n\r\n" + behind)
             await here.until(lambda: started == last)
             await here.left()
             await here.served(SECOND)
             assert sum(FIRST.encode() in request for request in begun) == last - 1
-            assert not here.driver.ids and not here.driver.out
+            assert not here.driver.active_ids and not here.driver.in_flight
 
     run(test())
 
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -25,7 +25,7 @@
     TOLD_AFTER,
     ListLease,
 )
-from granitepoint.net.discovery_channel import tell_failure
+from granitepoint.net.discovery_channel import classify_failure
 
 GRACE, HELD_UP = 0.3, 0.15  # s of a drain on sockets; s that a process may stand between clock and write
 HOLD = 25.0
@@ -193,7 +193,7 @@
 def test_what_the_end_of_a_call_is_evidence_of(
     fault: Exception, asked: bool, waited: float, continued: bool, failure: Failure
 ) -> None:
-    assert tell_failure(fault, asked, waited, continued) is failure
+    assert classify_failure(fault, asked, waited, continued) is failure
 
 
 def test_a_watch_whose_answer_before_had_not_waited_was_held_sooner() -> None:
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -15,20 +15,20 @@
 
 import pytest
 from netkit import endpoint, run
-from test_discovery import HERE, OnCommand, states
+from test_discovery import ADDRESS, ScriptedDiscovery, states
 
 from granitepoint.membership.version_history import MOST_REPEATED, VersionHistory
 from granitepoint.net import discovery as net
 
-CHANGED = {1, 2}
-WHOLE = "/v1/servers"
+CHANGED_SERVERS = {1, 2}
+FULL_LIST_TARGET = "/v1/servers"
 
 
 def history(version: int = 40) -> VersionHistory:
     """Versions 39 and 40 are known, the last of them by what it changed."""
-    made = VersionHistory(version - 1)
-    made.told(version - 1, version, CHANGED)
-    return made
+    versions = VersionHistory(version - 1)
+    versions.told(version - 1, version, CHANGED_SERVERS)
+    return versions
 
 
 def test_the_last_change_is_asked_for_once_more() -> None:
@@ -56,44 +56,44 @@
 
 
 def test_a_whole_list_or_a_large_change_leaves_nothing_to_compare() -> None:
-    whole = history()
-    whole.told(None, 41, {1, 2, 3})
-    large = history()
-    large.told(40, 41, range(MOST_REPEATED + 1))
-    for made in (whole, large):
-        assert made.ask_from == 41 and not made.comparable
-        assert made.goes_on_with(41, set()) and not made.goes_on_with(40, set())
+    after_full_list = history()
+    after_full_list.told(None, 41, {1, 2, 3})
+    after_large_change = history()
+    after_large_change.told(40, 41, range(MOST_REPEATED + 1))
+    for versions in (after_full_list, after_large_change):
+        assert versions.ask_from == 41 and not versions.comparable
+        assert versions.goes_on_with(41, set()) and not versions.goes_on_with(40, set())
 
 
 def test_an_answer_without_news_leaves_the_last_change_in_place() -> None:
-    made = history()
-    made.told(40, 40, set())
-    assert made.ask_from == 39
-    made.told(39, 41, {1, 2, 5})  # the same once more, with what came since
-    assert made.ask_from == 39 and not made.goes_on_with(41, {1, 2})
+    versions = history()
+    versions.told(40, 40, set())
+    assert versions.ask_from == 39
+    versions.told(39, 41, {1, 2, 5})  # the same once more, with what came since
+    assert versions.ask_from == 39 and not versions.goes_on_with(41, {1, 2})
 
 
 @asynccontextmanager
-async def moved(peer: OnCommand) -> AsyncIterator[net.Discovery]:
+async def moved_client(peer: ScriptedDiscovery) -> AsyncIterator[net.DiscoveryClient]:
     """A client that was told of version 2, with a change of s-1, and was then sent to another address."""
     async with peer.client() as client:
         client.watch(True)
-        (await peer.next("/v1/servers?from=1&")).answer(2, endpoint("s-1", HERE, "Terminating"))
+        (await peer.next("/v1/servers?from=1&")).answer(2, endpoint("s-1", ADDRESS, "Terminating"))
         await peer.next("/v1/servers?from=2&")
         await peer.lists.get()
-        client.move(client.at)
+        client.move(client.address)
         yield client
 
 
 def test_the_change_that_comes_back_shows_that_the_new_address_goes_on_with_the_old() -> None:
     async def test() -> None:
-        peer = OnCommand()
-        async with moved(peer) as client:
-            ask = await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
-            ask.answer(3, endpoint("s-1", HERE, "Gone"), endpoint("s-2", HERE))
+        peer = ScriptedDiscovery()
+        async with moved_client(peer) as client:
+            call = await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
+            call.answer(3, endpoint("s-1", ADDRESS, "Gone"), endpoint("s-2", ADDRESS))
             assert states(await peer.lists.get()) == ["gone", "serving"]
             await peer.next(f"/v1/servers?from=3&hold_ms={net.HOLD_MS}")
-            assert client._verification is None and client.confirmed
+            assert client._verification_task is None and client.confirmed
 
     run(test())
 
@@ -103,14 +103,14 @@
     """Nothing of its first answer is used, and it is no proof of what the address has."""
 
     async def test() -> None:
-        peer = OnCommand()
-        async with moved(peer) as client:
-            (await peer.next("/v1/servers?from=1&")).answer(index, endpoint(name, HERE))
-            whole = await peer.next(WHOLE)
-            assert whole.target == WHOLE and peer.lists.empty() and not client.confirmed
-            whole.answer(index, endpoint("s-9", HERE), snapshot=True)
-            told = await peer.lists.get()
-            assert told.whole and told.version == index
+        peer = ScriptedDiscovery()
+        async with moved_client(peer) as client:
+            (await peer.next("/v1/servers?from=1&")).answer(index, endpoint(name, ADDRESS))
+            full_list_call = await peer.next(FULL_LIST_TARGET)
+            assert full_list_call.target == FULL_LIST_TARGET and peer.lists.empty() and not client.confirmed
+            full_list_call.answer(index, endpoint("s-9", ADDRESS), snapshot=True)
+            received = await peer.lists.get()
+            assert received.full and received.version == index
             await peer.next(f"/v1/servers?from={index}&")
             assert client.confirmed
 
@@ -121,40 +121,40 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The watch goes on meanwhile, and what it was told since is not taken back."""
-    monkeypatch.setattr(net, "VERIFY_AFTER", 0.1)
+    monkeypatch.setattr(net, "VERIFY_DELAY", 0.1)
     monkeypatch.setattr(net, "VERIFY_SPREAD", 0.02)
 
     async def test() -> None:
-        peer = OnCommand()
+        peer = ScriptedDiscovery()
         async with peer.client() as client:
-            client.move(client.at)
+            client.move(client.address)
             (await peer.next("/v1/servers?from=1&")).answer(1)
             watched = await peer.next(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
             assert (await peer.lists.get()).version == 1
             for _ in range(2):
-                ask = await peer.next(WHOLE)
-                assert ask.target == WHOLE
-                ask.fail()
-            (await peer.next(WHOLE)).answer(1, endpoint("s-2", HERE), snapshot=True)
-            told = await peer.lists.get()
-            assert told.whole and not told.ends_watch and peer.failures == 0
-            assert client.confirmed and client._watch is not None and not client._watch.done()
-            watched.answer(2, endpoint("s-2", HERE, "Terminating"))
+                call = await peer.next(FULL_LIST_TARGET)
+                assert call.target == FULL_LIST_TARGET
+                call.fail()
+            (await peer.next(FULL_LIST_TARGET)).answer(1, endpoint("s-2", ADDRESS), snapshot=True)
+            received = await peer.lists.get()
+            assert received.full and not received.ends_watch and peer.failures == 0
+            assert client.confirmed and client._watch_task is not None and not client._watch_task.done()
+            watched.answer(2, endpoint("s-2", ADDRESS, "Terminating"))
             await peer.next("/v1/servers?from=2&")
-            assert client._verification is not None
-            await asyncio.wait([client._verification], timeout=1.0)
-            assert client._verification.done()
+            assert client._verification_task is not None
+            await asyncio.wait([client._verification_task], timeout=1.0)
+            assert client._verification_task.done()
 
     run(test())
 
 
 def test_a_move_while_nothing_is_confirmed_asks_anew_and_a_second_one_before_the_first_list_too() -> None:
     async def test() -> None:
-        old, new = OnCommand(), OnCommand()
-        async with new.client() as there, moved(old) as client:
+        old, new = ScriptedDiscovery(), ScriptedDiscovery()
+        async with new.client() as other, moved_client(old) as client:
             await old.next("/v1/servers?from=1&")
-            client.move(there.at)
-            (await new.next("/v1/servers?from=1&")).answer(2, endpoint("s-1", HERE, "Terminating"))
+            client.move(other.address)
+            (await new.next("/v1/servers?from=1&")).answer(2, endpoint("s-1", ADDRESS, "Terminating"))
             await new.next("/v1/servers?from=2&")
             assert (await old.lists.get()).version == 2 and old.lists.empty()
 
