--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -1,7 +1,7 @@
-"""Drives the one Balancer: events in, actions out. The only place that knows the module and the sockets.
+"""Connects the Balancer (the decision module) with the sockets: feeds it events and carries out its actions.
 
-It decides nothing: no retry, no pick, no queue. What it adds is the proxy's own word on each call: an answer
-before the caller's deadline, whatever the module does.
+The driver makes no decisions of its own about retries, server selection or queueing. The one thing that it
+adds is a guarantee for each call: the caller gets an answer before its deadline, whatever the balancer does.
 """
 
 from __future__ import annotations
@@ -36,20 +36,23 @@
 
 log = Events(__name__)
 
-MIN_ANSWER_MARGIN = 0.02  # s before a caller's deadline at which its answer leaves at the latest
-MAX_ANSWER_MARGIN = 0.15  # s
-BALANCER_MARGIN = 0.02  # s by which the module's deadline lies before the proxy's own
-MAX_MARGIN_SHARE = (
-    0.02  # of a call's time that either of these takes at most: they add up along a chain of calls
-)
-LAG_DECAY = 0.995  # of the measured loop lag that is kept at each timer
-AT_CAPACITY_RETRY_AFTER = 1.0  # s after which a caller that found no room may come back
-MAX_CONCURRENT_PROBES = 32  # at once
-MAX_REPORT_VALUE = 1e6  # of a report; more is no load, and would outweigh all other reports
-PROBE_TIMEOUT = 0.2  # s; a report that comes later is of no use
-DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {b"x-load-report", b"x-rejected"}
-READY_TIMEOUT = 5.0  # s after the start at which a proxy is ready though no list has come: it then refuses
-STATISTICS_INTERVAL = 5.0  # s between two lines of figures
+# Seconds before the caller's deadline at which the answer of a call leaves at the latest. The maximum applies
+# when the event loop lags.
+MIN_ANSWER_MARGIN = 0.02
+MAX_ANSWER_MARGIN = 0.15
+BALANCER_MARGIN = 0.02  # seconds between the balancer's deadline for a call and the driver's own
+# Upper limit of MIN_ANSWER_MARGIN and BALANCER_MARGIN, as a share of the call's time: along a chain of calls
+# the margins of all proxies add up.
+MAX_MARGIN_SHARE = 0.02
+LAG_DECAY = 0.995  # factor by which the measured event loop lag decays at each timer
+AT_CAPACITY_RETRY_AFTER = 1.0  # seconds; Retry-After of a call that is refused at the limit of open calls
+MAX_CONCURRENT_PROBES = 32
+MAX_REPORT_VALUE = 1e6  # a larger load is implausible, and would outweigh the reports of all other servers
+PROBE_TIMEOUT = 0.2  # seconds; a later report is too old to be useful
+DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {b"x-load-report", b"x-rejected"}  # of answers; not sent to callers
+READY_TIMEOUT = 5.0  # seconds after the start; then a proxy is ready even without a list, and refuses calls
+STATISTICS_INTERVAL = 5.0  # seconds between two log lines of statistics
+# Names of the fields of a load report: on the wire -> in the balancer.
 REPORT_FIELDS = {
     "inflight": "busy_reqs", "queue": "pending", "util": "cpu_share",
     "latency_ms": "svc_ms", "qps": "served_ps", "eps": "failed_ps",
@@ -57,7 +60,10 @@
 
 
 def read_report(text: bytes) -> dict[str, float] | None:
-    """`inflight=7,queue=2` under the module's names; None where it holds nothing usable."""
+    """Parses a load report such as `inflight=7,queue=2` into the balancer's field names.
+
+    Returns None if the report is empty or malformed, repeats a field, or holds an impossible value.
+    """
     report = {}
     try:
         for pair in text.decode("ascii").strip().split(","):
@@ -65,7 +71,7 @@
             name = REPORT_FIELDS.get(name.strip(), name.strip())
             number = float(value)
             if name in report or not 0 <= number <= MAX_REPORT_VALUE:
-                return None  # what says one thing twice, or what can't be, is trusted in nothing
+                return None  # one bad field makes the whole report untrustworthy
             report[name] = number
     except ValueError:
         return None
@@ -73,7 +79,7 @@
 
 
 class OpenCall:
-    """A taken request that is owed its answer."""
+    """A call that has been accepted and not answered yet."""
 
     __slots__ = (
         "attempts",
@@ -91,12 +97,14 @@
         self.number, self.request, self.reply, self.deadline = number, request, reply, deadline
         self.open = True
         self.attempts = 0
-        self.may_have_run = False  # some attempt may have run
+        self.may_have_run = False  # an ended attempt may have been executed by a server
         self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
 
 
 class Driver:
+    """Runs one Balancer on the event loop, with callers, backends and discovery on sockets."""
+
     def __init__(self, config: Config) -> None:
         self.loop = asyncio.get_running_loop()
         pushed = not config.settings.ask_for_list
@@ -113,17 +121,17 @@
             on_idle_closed=self._on_idle_connection_closed,
         )
         self.calls: dict[int, OpenCall] = {}
-        self.in_flight: dict[int, Exchange] = {}  # attempts, by call: also of calls whose caller has left
-        self.active_ids: set[bytes] = set()  # of the calls in the table, and of attempts still out
+        self.in_flight: dict[int, Exchange] = {}  # attempts by call, also those whose caller has left
+        self.active_ids: set[bytes] = set()  # request ids of open calls and of attempts in flight
         self.calls_taken = 0
         self.probes_in_flight = 0
         self.events: list[api.Event] = []
         self.flush_handle: asyncio.Handle | None = None
         self.last_flush_at = 0.0
-        self.shutdown_deadline = math.inf  # when the process is to end: what comes now is answered by then
-        self.debug_enabled = log.debugging  # each request's own lines are wanted
-        self.counts: Counter[str] = Counter()  # what came and how it ended, since the last line of figures
-        self.loop_lag = 0.0  # s, how late this loop was lately
+        self.shutdown_deadline = math.inf  # monotonic; all calls are answered by then when the process stops
+        self.debug_enabled = log.debugging  # log lines for each request are wanted
+        self.counts: Counter[str] = Counter()  # events and outcomes since the last statistics line
+        self.loop_lag = 0.0  # seconds; decaying maximum of the delay of timers
         self.on_drained: Callable[[], None] | None = None
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
@@ -136,7 +144,7 @@
             api.Watch: lambda action: self.discovery.watch(action.on),
             api.Fetch: lambda action: self.discovery.fetch(),
             api.Log: lambda action: log.info("module", text=action.text),
-            api.Tell: lambda action: None,  # there is no talk between proxies
+            api.Tell: lambda action: None,  # proxies exchange no messages on sockets
         }
         start_times = StartTimes()
         try:
@@ -148,7 +156,7 @@
             known.version,
             self._on_list,
             self._on_list_failed,
-            Random(f"discovery {config.seed}"),  # not the module's own numbers once more
+            Random(f"discovery {config.seed}"),  # independent of the balancer's random numbers
             pushed=not self.settings.ask_for_list,
             on_evidence=self._enqueue,
             instances=self.settings.balancers * self.settings.stages,
@@ -156,13 +164,14 @@
         )
         self.started_at = time.monotonic()
         self.was_ready = False
-        self.list_usable = False  # by the list that is held
+        self.list_usable = False  # the lease on the current list of servers is valid
         self.upstreams.apply(known)
         self.events.append(self._server_list(known, api.ListKind.SAVED))
 
     def start(self) -> None:
+        """Hands the saved list to the balancer and starts the statistics timer."""
         self._flush()
-        if self.discovery.pushed:  # on sockets they come on a watch
+        if self.discovery.pushed:  # pushed lists arrive on a watch, which the balancer does not ask for
             self.discovery.watch(True)
         self.loop.call_later(STATISTICS_INTERVAL, self._on_statistics_due)
 
@@ -171,7 +180,7 @@
         self.log_statistics()
 
     def log_statistics(self) -> None:
-        """What happened and where the module stands: tells a bad stretch from a good one."""
+        """Logs what happened since the last such line, and the state of the balancer."""
         if self.counts:
             counts, self.counts = self.counts + self.upstreams.counts, Counter()
             self.upstreams.counts.clear()
@@ -196,11 +205,12 @@
             )  # fmt: skip
 
     def stop(self) -> None:
+        """Stops all requests to discovery."""
         self.discovery.stop()
 
     # events
     def _enqueue(self, event: api.Event) -> None:
-        """Events come to the module no more often than once a quantum."""
+        """Queues an event for the balancer, which gets a batch of them at most once per quantum."""
         self.events.append(event)
         if self.flush_handle is None:
             wait = self.last_flush_at + self.settings.quantum - time.monotonic()
@@ -239,7 +249,7 @@
             )  # fmt: skip
 
     def _handle_balancer_failure(self, events: list[api.Event]) -> None:
-        """The module failed on a batch: its calls fail, its timers come again, the rest goes on."""
+        """The balancer raised an exception: answers the calls of the batch with 502 and repeats its timers."""
         log.exception("module_failed", events=len(events))
         for event in events:
             if isinstance(event, api.Arrival | api.Outcome):
@@ -276,21 +286,25 @@
 
     def _on_idle_connection_closed(self, upstream: Upstream, idle_for: float) -> None:
         for server, listed in self.upstreams.by_id.items():
-            if listed is upstream and upstream.serving:  # what drains closes all that it has
+            if listed is upstream and upstream.serving:  # a draining server closes them all
                 self._enqueue(api.ClosedAtRest(server, idle_for))
 
     # the callers' side
     def ready(self) -> bool:
-        """Whether what is sent here can be served. A new process does not know how old its list is, so it is
-        first taken in once one has come, or after a while, lest it be waited for in vain."""
+        """Returns whether calls sent to this proxy can be served.
+
+        A new process does not know how old its saved list is. So it becomes ready when discovery has sent a
+        list, or after READY_TIMEOUT, so that nobody waits for it forever while discovery is unreachable.
+        """
         now = time.monotonic()
         lease = self.balancer.list_lease
         self.was_ready = self.was_ready or lease.valid(now) or now > self.started_at + READY_TIMEOUT
         return self.was_ready and self.upstreams.ready
 
     def opened(self, request: Request, reply: Reply) -> OpenCall | None:
+        """Accepts a request for the balancer. Returns None if it was answered at once with an error."""
         if request.id in self.active_ids:
-            # An earlier one of this name is still out, and a second copy could run beside it.
+            # An earlier request with this id is still in progress: a second copy could run at the same time.
             reply.answer(409, (), b"this X-Call-Id is in use\n")
             return None
         if self.settings.most_held and len(self.calls) >= self.settings.most_held:
@@ -301,8 +315,8 @@
         if self.debug_enabled:
             log.debug("call_taken", id=request.id, cls=request.cls, budget_s=request.budget)
         number = self.calls_taken
-        # What the budget has lost before the request was read shows only as this loop's lag.
-        # No client of a class waits longer than its deadline, whatever it says.
+        # Time lost before the request was read can only be estimated, from the lag of this event loop.
+        # The deadline of the class also limits a client that states a longer budget.
         stated_budget = min(request.budget, self.deadlines[request.cls])
         max_margin = MAX_MARGIN_SHARE * stated_budget
         margin = min(MAX_ANSWER_MARGIN, min(MIN_ANSWER_MARGIN, max_margin) + 2 * self.loop_lag)
@@ -327,11 +341,15 @@
         return call
 
     def retry_after_headers(self, wait: float) -> Headers:
-        """When to come back, where the settings allow to say so, and no later than a client would heed."""
+        """Returns the Retry-After header for `wait` seconds, or nothing where the settings forbid it.
+
+        The value is limited to the longest wait that clients respect.
+        """
         wait = min(wait, self.settings.max_wait_advice) if self.settings.may_advise_wait else 0.0
         return ((b"retry-after", b"%.3f" % wait),) if wait > 0 else ()
 
     def left(self, call: OpenCall) -> None:
+        """The caller has closed its connection before it got an answer."""
         if call.open:
             if self.debug_enabled:
                 log.debug("caller_left", id=call.request.id)
@@ -339,11 +357,11 @@
             self._enqueue(api.Gone(call.number))
 
     def _on_deadline(self, call: OpenCall, rechecked: bool = False) -> None:
-        """The module has said nothing in time: a failure, unless a refusal is provably harmless."""
+        """Answers a call that the balancer has not answered in time: 503 if it surely never ran, else 504."""
         if not call.open:
             return
         if not rechecked and time.monotonic() > call.deadline + STALL_THRESHOLD:
-            # This process stood still, and timers come before sockets: the answer may have come meanwhile.
+            # The process was stalled. Timers run before sockets are read, so the answer may already be there.
             call.timer = self.loop.call_later(NEXT_LOOP_ITERATION, self._on_deadline, call, True)
             return
         never_ran = not call.may_have_run and (call.exchange is None or not call.exchange.sent)
@@ -354,7 +372,7 @@
             exchange.end(api.Status.TIMEOUT if exchange.sent else api.Status.MOOT)
 
     def _answer(self, call: OpenCall, code: int, headers: Any, body: bytes) -> None:
-        """The final answer. After it the call is gone from the table, so there is no second one."""
+        """Sends the final answer. The call is removed first, so it can't be answered twice."""
         self._remove_call(call)
         self.counts[f"answer {code}"] += 1
         if self.debug_enabled:
@@ -375,7 +393,7 @@
     def _send(self, action: api.Send) -> None:
         call = self.calls.get(action.call)
         if call is None:
-            # It has ended since the batch was handed over; every send is owed an outcome.
+            # The call ended after the batch was handed over. The balancer expects an outcome for every Send.
             self._enqueue(api.Outcome(action.call, 0, action.server, api.Status.MOOT, 0.0, True))
             return
         number = call.attempts
@@ -399,7 +417,7 @@
         def may_start() -> bool:
             if call.open and call.reply.gone():
                 self.left(call)
-            # The list may have grown too old during the connect, or while this process was held up.
+            # The list may have expired during the connect, or while this process was stalled.
             return call.open and upstream.serving and self.balancer.list_lease.valid(time.monotonic())
 
         def on_done(exchange: Exchange) -> None:
@@ -469,7 +487,7 @@
     def _probe(self, action: api.Probe) -> None:
         upstream = self.upstreams.by_id.get(action.server)
         if upstream is None or not upstream.serving or self.probes_in_flight >= MAX_CONCURRENT_PROBES:
-            self._enqueue(api.Probed(action.server, api.Status.FULL, 0.0))  # not the backend's fault
+            self._enqueue(api.Probed(action.server, api.Status.FULL, 0.0))  # says nothing about the server
             return
         self.probes_in_flight += 1
         target = "/healthz" if self.settings.reports == "none" else "/load"
@@ -488,7 +506,7 @@
                 )  # fmt: skip
             report = read_report(exchange.body) if status is api.Status.OK else None
             if status is api.Status.MOOT:
-                status = api.Status.FULL  # not asked, so nothing is known against it
+                status = api.Status.FULL  # the probe was not sent, so it says nothing about the server
             self._enqueue(api.Probed(action.server, status, exchange.elapsed, report))
 
         self.upstreams.start(
