--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery: asks for lists of backends (fetch) or for what changed (watch)."""
+"""Client of discovery: requests lists of backends (fetch) and changes to them (watch, a long poll).
+
+A change counts as notified some seconds after discovery had it, whether or not a proxy has received it; from
+then on the proxy is expected to act on it (see membership/list_lease.py).
+"""
 
 from __future__ import annotations
 
@@ -24,43 +28,43 @@
 
 log = Events(__name__)
 
-RENEW_AFTER = 18.0  # s after which a watch that has said nothing is asked anew: it may have fallen silent
-HOLD_MS = 25_000  # how long a watch may wait; what a silent one misses counts as told 2 s after that
-CONFIRM_HOLD_MS = 50  # the same until an answer confirms the list: until then nothing may be sent by it
-CONFIRM_TIMEOUT = 3.2  # s after which such a call is silent: in turn and held it takes 2.5 s at most
-CALL_TIMEOUT = 4.0  # s beyond a call's own wait after which it has failed: calls wait in turn
-MIN_CALL_SPACING = 0.05  # s between two watches, should discovery answer each at once
-PUSH_RETRY_DELAY = 0.15  # s between tries to open a watch on pushed lists, which count as told at once
-PUSH_RETRY_JITTER = (
-    0.5  # share by which such a pause may be shorter: all that lost one service would ask in step
-)
-MAX_READ_DELAY = 0.15  # s that an answer may have been on its way, or this process held up, before it is read
-MOVE_RETRY_AFTER = 3.5  # s after which the first list is asked for once more: the call is silent, not in turn
-MAX_MOVE_TRIES = 15  # such tries, before the module is told that the call failed
-VERIFY_DELAY = 30.0  # s after a move at which a list that nothing could be compared with is asked for whole
-VERIFY_SPREAD = 90.0  # s over which the proxies do so
-TIMEOUT_JITTER = 0.15  # share by which RENEW and MOVE_AGAIN may be shorter, so that none ask in step
+RENEW_AFTER = 18.0  # seconds without an answer after which a watch is opened anew: it may be dead
+HOLD_MS = 25_000  # for which discovery may hold a watch; what a dead one misses counts as notified 2 s later
+CONFIRM_HOLD_MS = 50  # the same until an answer confirms the list: before that nothing may be sent with it
+CONFIRM_TIMEOUT = 3.2  # seconds after which such a call counts as dead; queueing and hold take 2.5 s at most
+CALL_TIMEOUT = 4.0  # seconds in addition to the hold of a call; calls wait in the queue of discovery
+MIN_CALL_SPACING = 0.05  # seconds between two watches, for the case that discovery answers each at once
+# Seconds between tries to open a watch on pushed lists; short, as pushed changes count as notified at once.
+PUSH_RETRY_DELAY = 0.15
+PUSH_RETRY_JITTER = 0.5  # share by which that delay may be shorter, so that proxies don't retry in step
+MAX_READ_DELAY = 0.15  # seconds between the sending of an answer and its reading: latency and stalls
+MOVE_RETRY_AFTER = 3.5  # seconds after which the first call to a new address counts as dead, not as queued
+MAX_MOVE_TRIES = 15  # of that call, before the balancer is notified of the failure
+VERIFY_DELAY = 30.0  # seconds after a move; then a list that could not be compared is checked by a full one
+VERIFY_SPREAD = 90.0  # seconds over which the verifications of all proxies are spread
+TIMEOUT_JITTER = 0.15  # share by which timeouts of watches may be shorter, so that proxies don't call in step
 
 Evidence = WatchLost | WatchOpened | DiscoveryFailed
 
 
 @dataclass(slots=True)
 class DiscoveryCall:
-    """One call: when it was begun (monotonic), for how long discovery may hold it, and whether it goes on
-    with a watch that had just been answered."""
+    """A call to discovery."""
 
-    started_at: float
-    hold: float = 0.0
-    continued: bool = False
-    previous_unqueued: bool = False  # the answer before it had not waited in turn
-    since_version: int | None = None  # the version from which changes were asked for; None: the whole list
-    is_watch: bool = True  # one of a watch's calls, not a list asked for beside it
+    started_at: float  # monotonic
+    hold: float = 0.0  # seconds for which discovery may hold it
+    continued: bool = False  # it follows the answer of a watch directly, and continues that watch
+    previous_unqueued: bool = False  # the answer before it had not waited in the queue of discovery
+    since_version: int | None = None  # changes since this version are requested; None: the full list
+    is_watch: bool = True  # False for a separate request of the full list
 
 
 class DiscoveryClient:
-    """Asks as the module says, and hands on each list, or that a call failed. Asks nothing by itself, but
-    for the next call of a watch that goes on, and where lists are pushed: there the module never asks, and
-    a watch that ends is opened again at once."""
+    """Calls discovery when the balancer asks for it, and reports each list and each failed call.
+
+    On its own it only repeats the call of a watch that has been answered, or that got no answer in time.
+    Where lists are pushed the balancer never asks, and a watch that fails is opened again at once.
+    """
 
     def __init__(
         self,
@@ -75,34 +79,37 @@
         start_times: StartTimes | None = None,
     ) -> None:
         self.address, self.random, self.pushed = address, random, pushed
-        self.version: int | None = version  # None: the whole list is to be asked for
+        self.version: int | None = version  # None: request the full list
         self.history = VersionHistory(version)
         self.start_times = start_times or StartTimes()
-        self.moving = False  # to another address, of which no list has come yet
+        self.moving = False  # no list has come from the new address yet
         self.on_list, self.on_failed = on_list, on_failed
-        self.on_evidence = on_evidence  # told of all that bears on how long the list may be used
-        # Of the calls that are made again from here, on a watch or at a new address.
+        self.on_evidence = on_evidence  # called with all events that affect the lease on the list
+        # For the retries that this client makes by itself, on a watch or at a new address.
         self.backoff = Backoff(random, instances=instances, place=random.random())
-        self.last_failure = Failure.SILENT  # how the last call that failed did so
-        self.last_answer_at = -math.inf  # monotonic, of the last answer with a list
-        self.last_answer_unqueued = False  # it had not waited in turn
-        self.newest_call: DiscoveryCall | None = None  # the last call of a watch
+        self.last_failure = Failure.SILENT
+        self.last_answer_at = -math.inf  # monotonic, of the last list on a watch
+        self.last_answer_unqueued = False  # it had not waited in the queue of discovery
+        self.newest_call: DiscoveryCall | None = None  # of a watch
         self.confirmed = False  # a list has come since the watch was lost
-        self.lists_received = 0  # taken so far
+        self.lists_received = 0
         self._watch_task: asyncio.Task[None] | None = None
-        self._watch_calls: dict[
-            asyncio.Task[bool], Channel
-        ] = {}  # of the watch, the one before still among them
+        # Calls of the watch in progress: the newest one, and earlier ones that were not answered in time.
+        self._watch_calls: dict[asyncio.Task[bool], Channel] = {}
         self._fetch_tasks: set[asyncio.Task[None]] = set()
         self._verification_task: asyncio.Task[None] | None = None
 
     def watch(self, on: bool) -> None:
-        """A call that is out stays beside the new one: discovery may be writing its answer, which counts as
-        told, or may soon come to it, and the new one waits its turn anew. A watch that has no list of its
-        address yet goes on as it is: it asks again by itself, and begun anew it would ask twice."""
+        """Opens a watch, or ends it.
+
+        Calls in progress are left open beside the new one. Discovery may be writing an answer to them, which
+        counts as notified, or may soon do so, while the new call is queued from the start. A watch that waits
+        for the first list of a new address is left as it is: it retries by itself, and a restart would only
+        add a call.
+        """
         if on and self.moving and self._watch_task is not None and not self._watch_task.done():
             return
-        self.confirmed = False  # asked anew: until the answer comes it is no watch that goes on
+        self.confirmed = False  # until the new call is answered
         if self._watch_task is not None:
             self._watch_task.cancel()
             self._watch_task = None
@@ -112,13 +119,16 @@
             self._watch_task = asyncio.get_running_loop().create_task(self._run_watch())
 
     def move(self, address: Address) -> None:
-        """Another address of discovery from now on. What the old one may still say is not heard. The new one
-        is asked at once for what has changed: all proxies move together, and whole lists for all of them
-        would take longer than the time in which changes count as told."""
+        """Uses another address of discovery from now on, and ignores what the old one still sends.
+
+        The new address is asked at once for the changes since the current version, not for a full list. All
+        proxies move together, and full lists for all of them would take longer than the time after which
+        changes count as notified.
+        """
         self.stop()
         self._watch_lost(MOVE_TOLD, moved=True)
         self.address, self.moving, self.version = address, True, self.history.version
-        self.last_answer_at = -math.inf  # the answer was the other address's
+        self.last_answer_at = -math.inf  # that was an answer of the old address
         self.watch(True)
 
     def _watch_lost(
@@ -128,11 +138,13 @@
         self.on_evidence(WatchLost(notified_within, moved, silent))
 
     def fetch(self) -> None:
+        """Requests the full list, beside the watch."""
         task = asyncio.get_running_loop().create_task(self._run_fetch())
         self._fetch_tasks.add(task)
         task.add_done_callback(self._fetch_tasks.discard)
 
     def stop(self) -> None:
+        """Ends all calls."""
         self._close_watch_calls()
         for task in (self._watch_task, self._verification_task, *self._fetch_tasks):
             if task is not None:
@@ -145,9 +157,13 @@
         self._watch_calls.clear()
 
     async def _run_watch(self) -> None:
-        """Call after call. Silence looks like a list that does not change, so no watch is waited for longer
-        than RENEW: the next call goes out beside it, early enough to be tried again before what a silent one
-        missed counts as told. The one before stays until it ends, for it may be the one that is told."""
+        """Makes the calls of a watch, one after another.
+
+        A dead watch can't be told from a list that does not change. So a call that is not answered within
+        RENEW_AFTER is followed by another one beside it, early enough for a retry before what a dead watch
+        has missed counts as notified. The earlier call stays open until it ends, as discovery may still
+        answer it.
+        """
         loop = asyncio.get_running_loop()
         calls = self._watch_calls
         channel, tries = Channel(), 0
@@ -191,7 +207,7 @@
                 elif calls or (was_moving and tries < MAX_MOVE_TRIES):
                     await asyncio.sleep(self.backoff.failed(self.last_failure, ended_at))
                 else:
-                    self._watch_task = None  # over, for whom it tells
+                    self._watch_task = None  # on_failed may start a new one
                     self.on_failed()
                     return
         finally:
@@ -199,10 +215,11 @@
                 channel.close()
 
     def _since_version(self) -> int | None:
-        """The version from which changes are asked for."""
+        """Returns the version since which changes are requested; None for the full list."""
         return self.history.ask_from if self.moving and self.version is not None else self.version
 
     def _shortened(self, duration: float, jitter: float) -> float:
+        """Returns `duration` shortened by a random share of up to `jitter`."""
         return duration * (1 - jitter * self.random.random())
 
     async def _run_fetch(self) -> None:
@@ -216,7 +233,7 @@
             channel.close()
 
     async def _run_verification(self) -> None:
-        """Asks for the whole list in time of leisure, until it comes."""
+        """Requests the full list at a quiet time, until it arrives."""
         received = False
         while not received:
             await asyncio.sleep(VERIFY_DELAY + VERIFY_SPREAD * self.random.random())
@@ -229,7 +246,11 @@
                 channel.close()
 
     async def _make_call(self, channel: Channel, timeout: float, call: DiscoveryCall) -> bool:
-        """Whatever goes wrong ends this call only: a watch that ended untold would never be renewed."""
+        """Makes one call and returns whether it was answered with a list, even if that is not used.
+
+        All errors are handled here: an exception would end the watch unnoticed, and it would never be
+        renewed.
+        """
         lists_before, held_version = self.lists_received, self.version
         try:
             code, body = await channel.get(self.address, request_target(call), timeout)
@@ -248,7 +269,8 @@
             if self.moving and not self._continues_history(listing):
                 self.version = None
                 return True
-            # What goes on with a watch is written when something changes; any other call in its turn.
+            # Discovery writes the answer of a continued watch when something changes, and that of another
+            # call when its turn in the queue comes.
             listing.written_after = (
                 max(call.started_at, now - MAX_READ_DELAY) if call.continued else call.started_at
             )
@@ -262,8 +284,9 @@
                 error, channel.request_sent, waited, call.continued, call.previous_unqueued
             )
             log.warning(
-                "discovery_failed", discovery="{}:{}".format(*self.address), fault=error_text, waited_s=waited,
-                held=held_version, evidence=self.last_failure.value, continued=call.continued,
+                "discovery_failed", discovery="{}:{}".format(*self.address), fault=error_text,
+                waited_s=waited, held=held_version, evidence=self.last_failure.value,
+                continued=call.continued,
             )  # fmt: skip
             return False
         log.info(
@@ -274,24 +297,28 @@
         return True
 
     def _continues_history(self, listing: Listing) -> bool:
-        """Whether this first list of a new address can be used with the one that is held."""
+        """Returns whether the first list of a new address fits the history of the current list."""
         servers = [listed.entry.server for listed in listing.backends]
         if listing.full or self.history.goes_on_with(listing.version, servers):
             return True
         log.warning(
             "discovery_differs", discovery="{}:{}".format(*self.address), version=listing.version,
-            held=self.history.version, effect="the whole list is asked for",
+            held=self.history.version, effect="the full list is requested",
         )  # fmt: skip
         return False
 
     def _queue_time(self, listing: Listing, call: DiscoveryCall, waited: float) -> float | None:
-        """How long discovery took over a call, as far as it can be told from its hold."""
+        """Returns the seconds that a call waited in the queue of discovery; None if that is unknown.
+
+        If nothing had changed, discovery held the call in addition.
+        """
         if call.continued:
             return None
         unchanged = call.since_version is not None and not listing.backends
         return waited - call.hold if unchanged else waited
 
     def _accept_list(self, listing: Listing, call: DiscoveryCall, now: float) -> None:
+        """Updates the state after a list has been delivered."""
         self.lists_received += 1
         self.version = listing.version
         self.backoff.succeeded(listing.queue_time)
@@ -308,7 +335,7 @@
 
 
 def request_target(call: DiscoveryCall) -> str:
-    """The path and query of a call."""
+    """Returns the path and query of a call."""
     if call.since_version is None:
         return "/v1/servers"
     return f"/v1/servers?from={call.since_version}&hold_ms={call.hold * 1000:.0f}"
--- a/granitepoint/net/discovery_channel.py
+++ b/granitepoint/net/discovery_channel.py
@@ -1,4 +1,4 @@
-"""One connection to discovery, and what the end of a call on it is evidence of."""
+"""One connection to discovery, and the classification of failed calls on it."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from granitepoint.membership.evidence import Failure, classify
 from granitepoint.net.config import Address
 
-CONNECT_TIMEOUT = 1.0  # s
-MAX_ANSWER_BYTES = 8 << 20  # bytes of an answer
+CONNECT_TIMEOUT = 1.0  # seconds
+MAX_ANSWER_BYTES = 8 << 20
 
 
 class Channel(asyncio.Protocol):
-    """One kept connection to discovery, with one call at a time."""
+    """A persistent connection to discovery, which carries one call at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.answer: asyncio.Future[tuple[int, bytes]] | None = None
         self.parser: Any = None
         self.body = bytearray()
-        self.bytes_received = 0  # bytes of the answer as they came
-        self.request_sent = False  # the request of this call was written: what fails now, fails at discovery
+        self.bytes_received = 0  # of the current answer, on the wire
+        self.request_sent = False  # of the current call; a later failure was caused by discovery, not locally
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own class
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = self.parser = None
@@ -36,9 +36,9 @@
         self.bytes_received += len(data)
         try:
             if self.answer is None or self.answer.done() or self.bytes_received > MAX_ANSWER_BYTES:
-                raise ValueError("more than was asked for")
+                raise ValueError("unexpected data, or an answer above the size limit")
             self.parser.feed_data(data)
-        except Exception as error:  # whatever it is, the stream can't be followed any further
+        except Exception as error:  # after any error the rest of the stream can't be parsed
             self._fail(ValueError(f"malformed answer: {error}"))
             self.close()
 
@@ -58,11 +58,17 @@
             self.answer.set_exception(error)
 
     def close(self) -> None:
+        """Closes the connection; the next call opens a new one."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
     async def get(self, address: Address, request_target: str, timeout: float) -> tuple[int, bytes]:
+        """Sends a GET request and returns the status code and the body of the answer.
+
+        Connects first if necessary. `timeout` is in seconds. Raises TimeoutError, another OSError such as
+        ConnectionError, or ValueError if the answer is malformed; the connection is closed then.
+        """
         loop = asyncio.get_running_loop()
         self.request_sent = False
         try:
@@ -90,14 +96,17 @@
 def classify_failure(
     error: Exception, request_sent: bool, waited: float, continued: bool, previous_unqueued: bool = False
 ) -> Failure:
-    """What the end of a call to discovery is evidence of. `asked`: its request had been written; `continued`
-    and `free` as in `classify`."""
+    """Returns what the failure of a call to discovery is evidence of.
+
+    `request_sent`: the request had been written. `waited`: seconds from the start of the call to its failure.
+    `continued` and `previous_unqueued` are passed to `classify`.
+    """
     if isinstance(error, ConnectionRefusedError):
         return Failure.REFUSED
     if isinstance(error, TimeoutError):
         return Failure.SILENT
     if not request_sent and not isinstance(error, ConnectionError):
-        return Failure.OWN_FAULT  # no socket, no port, no route: of this machine, and for a moment
+        return Failure.OWN_FAULT  # a local, usually temporary problem: no socket, no port, no route
     if isinstance(error, OSError) and not isinstance(error, ConnectionError):
-        return Failure.SILENT  # a connection that broke for want of a word from the other side
+        return Failure.SILENT  # the connection broke because the other side did not respond
     return classify(waited, continued, previous_unqueued)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -249,7 +249,7 @@
             )  # fmt: skip
 
     def _handle_balancer_failure(self, events: list[api.Event]) -> None:
-        """The balancer raised an exception: answers the calls of the batch with 502 and repeats its timers."""
+        """The balancer raised an exception: answers the calls of the batch with 502, repeats its timers."""
         log.exception("module_failed", events=len(events))
         for event in events:
             if isinstance(event, api.Arrival | api.Outcome):
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -1,4 +1,4 @@
-"""Lists of backends as discovery writes them."""
+"""Lists of backends in the format of discovery."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.net.config import Address, address
 
-MS_PER_SECOND = 1000  # of a second
+MS_PER_SECOND = 1000
 
 STATES_BY_STATUS = {
     "Ready": ServerState.SERVING,
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ListedBackend:
-    """A backend as a list names it."""
+    """A backend as an entry of a list."""
 
     address: Address
     entry: ServerEntry
@@ -32,21 +32,29 @@
 
 @dataclass(slots=True)
 class Listing:
+    """A full list of backends, or the changes since an earlier version."""
+
     version: int
     full: bool
     backends: list[ListedBackend]
-    written_after: float | None = None  # monotonic, when it was written at the earliest; None: unknown
-    ends_watch: bool = True  # it came on the newest call; otherwise a watch is still out
-    queue_time: float | None = None  # s that the call took without its hold; None: it went on with a watch
+    written_after: float | None = None  # monotonic; earliest time at which it was written; None: unknown
+    ends_watch: bool = True  # it answers the newest call of the watch; otherwise that call is still open
+    queue_time: float | None = None  # seconds in the queue of discovery; None: unknown, on a continued watch
 
 
 def server_id(name: str) -> int:
-    """The module's number of a backend: the same at every proxy, whose rings of backends must agree."""
+    """Returns the balancer's number of a backend.
+
+    It is the same at every proxy, as all proxies have to build the same hash ring.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
 def read_listing(document: object, start_times: StartTimes | None = None) -> Listing:
-    """`starts`: the starts that earlier lists have named. Raises ValueError where the list can't be used."""
+    """Parses a list of discovery. Raises ValueError if it is malformed.
+
+    `start_times` holds the starts of servers that earlier lists have named, and is updated.
+    """
     try:
         if not isinstance(document, Mapping):
             raise ValueError("not an object")
@@ -58,7 +66,7 @@
             (str(item["name"]), float(item.get("since_ms") or 0) / MS_PER_SECOND) for item in items
         ]
         if not all(math.isfinite(start) for _, start in named_starts):
-            raise ValueError("a start of the list is not finite")
+            raise ValueError("a start time is not finite")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"malformed list: {error!r}") from None
     _set_start_times(listing, named_starts, start_times or StartTimes())
@@ -68,7 +76,7 @@
 def _set_start_times(
     listing: Listing, named_starts: Sequence[tuple[str, float]], start_times: StartTimes
 ) -> None:
-    """When each server was started, on this process's clock."""
+    """Sets the start times of the listed servers, on the clock of this process."""
     started = start_times.listed(dict(named_starts), time.monotonic())
     for (name, _), listed in zip(named_starts, listing.backends, strict=True):
         listed.entry.started_at = started[name]
@@ -88,5 +96,5 @@
         weight=float(item.get("weight", 1.0)),
     )
     if not math.isfinite(entry.weight):
-        raise ValueError("a figure of the list is not finite")
+        raise ValueError("a weight is not finite")
     return ListedBackend(address(item["address"]), entry)
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -1,4 +1,4 @@
-"""The backends' side: their connections, and the exchanges (attempts and probes) that run on these."""
+"""Connections to backends, and the exchanges (attempts and probes) that run on them."""
 
 from __future__ import annotations
 
@@ -20,19 +20,22 @@
 
 log = Events(__name__)
 
-MAX_BODY_BYTES = 256 * 1024  # bytes of an answer
-MAX_HEADER_BYTES = 32 * 1024  # bytes of an answer's headers, with all 1xx answers ahead of it
-MAX_RAW_ANSWER_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # bytes of an answer as it comes, chunk by chunk
-IDLE_TIMEOUT_SHARE = 0.9  # of the settings' idle time after which this side closes first
-STALL_THRESHOLD = 0.01  # s of delay of a timer after which the sockets are looked at first
-NEXT_LOOP_ITERATION = 0.001  # s; the loop reads its sockets before such a timer
-REUSE_DELAY = NEXT_LOOP_ITERATION  # s after an answer before its connection is used again: what else comes is seen first
-LAST_BYTE_DELAY = (
-    NEXT_LOOP_ITERATION  # s between a request and its last byte: a connection that is lost breaks meanwhile
-)
+MAX_BODY_BYTES = 256 * 1024
+MAX_HEADER_BYTES = 32 * 1024  # headers of an answer, together with all 1xx answers before it
+MAX_RAW_ANSWER_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # on the wire, with the framing of chunks
+IDLE_TIMEOUT_SHARE = 0.9  # of the configured idle time, so that this side closes before the backend
+# Seconds by which a late timer indicates a stall of the process. Timers run before sockets are read, so data
+# may be waiting: the timer then reads the sockets once more before it takes effect.
+STALL_THRESHOLD = 0.01
+NEXT_LOOP_ITERATION = 0.001  # seconds; the event loop reads its sockets before a timer of this length
+# Seconds after an answer before its connection is used again, so that unexpected data after it is noticed.
+REUSE_DELAY = NEXT_LOOP_ITERATION
+# Seconds between a request and its last byte: a connection that was lost unnoticed breaks in this time.
+LAST_BYTE_DELAY = NEXT_LOOP_ITERATION
 HANGUP_EVENTS = select.POLLERR | select.POLLHUP | select.POLLRDHUP
-UPSTREAM_DESCRIPTOR_SHARE = 0.4  # of the descriptors that the process may hold, for connections to backends
-IDLE_SWEEP_INTERVAL = 1.0  # s between looks for idle connections
+UPSTREAM_DESCRIPTOR_SHARE = 0.4  # of the process's file descriptors, for connections to backends
+IDLE_SWEEP_INTERVAL = 1.0  # seconds
+# Errors of a connect that are caused by this machine, and say nothing about the backend.
 LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 HOP_BY_HOP_HEADERS = frozenset(
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer "
@@ -41,17 +44,24 @@
 
 
 def normalize_header(name: bytes, value: bytes) -> tuple[bytes, bytes]:
-    """A header, without the blanks round its value: httptools leaves those behind it. A coding with a
-    tab behind it is none that httptools knows, so that stays as it is."""
+    """Returns the header with a lower-case name and without blanks around its value.
+
+    httptools leaves trailing blanks in place. It does not recognize a transfer coding that is followed by a
+    tab, so such a value is kept as it is.
+    """
     name = name.lower()
     return name, value.strip(b" " if name == b"transfer-encoding" else b" \t")
 
 
 class Exchange:
-    """One request to one backend, from the decision to send until its one end.
-
-    `may_start` is asked right before the first byte goes out, also after a slow connect: meanwhile the call
-    may have ended or the backend begun to drain. `done` is called once, with `status` set.
+    """One request to one backend, from the decision to send it until its outcome.
+
+    `build_request` gets the remaining time in seconds and returns the bytes of the request.
+    `may_start` is called right before the first byte is sent, also after a slow connect: in the meantime the
+    call may have ended, or the backend may have started to drain.
+    `on_done` is called once, with `status` set.
+    `max_idle_age` is in seconds: connections that have been idle for longer are not used.
+    `send_within` is in seconds from now: the last byte is not sent after that.
     """
 
     __slots__ = (
@@ -89,28 +99,28 @@
         send_within: float = math.inf,
         id: bytes = b"",
     ) -> None:
-        self.id = id  # of the request, for the log
+        self.id = id  # of the request, for log lines
         self.upstream = upstream
-        self.build_request = build_request  # given the time left in s, at the first byte
-        self.last_byte = b""  # the last byte, held back
-        self.max_idle_age = max_idle_age  # s that a connection may have rested
-        self.idle_for: float | None = None  # s that the one used had; 0: it was new
+        self.build_request = build_request
+        self.last_byte = b""  # held back for LAST_BYTE_DELAY
+        self.max_idle_age = max_idle_age
+        self.idle_for: float | None = None  # seconds that its connection was idle before; 0 for a new one
         self.may_start, self.on_done = may_start, on_done
         self.loop = upstream.owner.loop
         self.started_at = time.monotonic()
         self.status: Status | None = None
         self.elapsed = 0.0
-        self.sent = False
+        self.sent = False  # the last byte has been written, so the backend may run the request
         self.connection: Connection | None = None
         self.code = 0
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
         self.timer_due = self.deadline = self.started_at + timeout
-        self.send_deadline = self.started_at + send_within  # no last byte after it
+        self.send_deadline = self.started_at + send_within
         self.timer = self.loop.call_later(timeout, self._on_timeout)
 
     def end(self, status: Status) -> None:
-        """Any end but a whole answer gives up the connection, so that a late answer reaches nobody."""
+        """Ends the exchange. Without a complete answer its connection is aborted, so a late one is lost."""
         if self.status is not None:
             return
         self.status = status
@@ -121,31 +131,33 @@
             log.info(
                 "attempt_given_up", id=self.id or None, status=status.name.lower(),
                 backend="{}:{}".format(*self.upstream.address), after_s=self.elapsed,
-                answered_bytes=connection.bytes_received, rested_s=connection.idle_for, carried=connection.exchange_count,
+                answered_bytes=connection.bytes_received, rested_s=connection.idle_for,
+                carried=connection.exchange_count,
             )  # fmt: skip
             connection.abandon()
         try:
             self.on_done(self)
-        except Exception:  # one call's fault must not end the callbacks of a connection
+        except Exception:  # an error in one call must not break the callbacks of the connection
             log.exception("exchange_end_failed", id=self.id or None)
 
     def cancel(self) -> None:
+        """Gives up the exchange on the balancer's request."""
         self.end(Status.CANCELLED if self.sent else Status.MOOT)
 
     def _on_timeout(self) -> None:
         if time.monotonic() > self.timer_due + STALL_THRESHOLD:
-            # This process stood still, and timers come before sockets: the answer may have come long ago.
+            # The process was stalled. Timers run before sockets are read, so the answer may already be there.
             self.timer_due = math.inf
             self.timer = self.loop.call_later(NEXT_LOOP_ITERATION, self._on_timeout)
             return
         if self.sent and self.upstream.last_received_at < self.started_at:
-            # The backend said nothing to anyone meanwhile. A machine that vanished leaves its connections
-            # open and silent; when it is back, each would cost one more call or probe to find out.
+            # The backend has sent nothing on any connection in the meantime. A machine that vanished leaves
+            # its connections open and silent; after its return each would cost one more call or probe.
             self.upstream.close_idle(self.started_at)
         self.end(Status.TIMEOUT if self.sent else Status.MOOT)
 
     def run_on(self, connection: Connection) -> None:
-        """Writes the request, unless it has ended or must not start any more."""
+        """Writes the request to the connection, unless the exchange has ended or must not start any more."""
         if self.status is not None or time.monotonic() >= self.send_deadline or not self.may_start():
             connection.upstream.release(connection)
             self.end(Status.MOOT)
@@ -154,8 +166,11 @@
         connection.start_exchange(self)
 
     def on_broken_unsent(self, new_connection: bool) -> None:
-        """The connection broke before the last byte was written, so nothing ran. A kept one had been lost
-        unseen, which is no word of the backend's: the next one is used."""
+        """The connection broke before the last byte was written, so the request has not run.
+
+        A reused connection may have been dead for a while, which says nothing about the backend: the exchange
+        is started again on another connection.
+        """
         self.connection = None
         if new_connection:
             self.end(Status.CONNECT_FAILED)
@@ -163,6 +178,7 @@
             self.upstream.owner.start(self)
 
     def on_answer(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        """A complete answer has arrived; its code determines the status."""
         self.connection = None
         self.code, self.headers, self.body = code, headers, body
         if code == 200:
@@ -174,7 +190,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a backend; carries one exchange at a time."""
+    """One connection to a backend, which carries one exchange at a time."""
 
     __slots__ = (
         "body",
@@ -198,35 +214,35 @@
         self.upstream = upstream
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
-        self.parser: Any = None  # one for each exchange: nothing of the last answer can reach the next
+        self.parser: Any = None  # a new one for each exchange, so no state is left from the previous answer
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
-        self.bytes_received = self.body_size = 0  # bytes of this answer as they came; of its body
+        self.bytes_received = self.body_size = 0  # of the current answer: on the wire, and of its body
         self.headers_complete = self.body_until_close = False
-        self.pending_answer: tuple[int, bool] | None = (
-            None  # whole, not handed on yet: its code, and whether to keep
-        )
+        # Code of an answer that is complete but not delivered yet, and whether the connection can be kept.
+        self.pending_answer: tuple[int, bool] | None = None
         self.idle_since = 0.0
         self.connected_at = time.monotonic()
-        self.exchange_count = 0  # exchanges so far
-        self.idle_for = 0.0  # s that it had not been used before the last of these
+        self.exchange_count = 0
+        self.idle_for = 0.0  # seconds before the latest exchange
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own class
         self.connected_at = time.monotonic()
         self.upstream.owner.open_connections += 1
         self.upstream.owner.counts["opened"] += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None  # the parser holds this object: a cycle that would wait for gc
+        # The parser refers to this object: without this the cycle would be left to the garbage collector.
+        self.transport = self.parser = None
         was_idle = self in self.upstream.idle
         self.upstream.on_connection_lost(self)
         if was_idle:
             self.upstream.owner.counts["ended at rest"] += 1
             self.upstream.owner.on_idle_closed(self.upstream, time.monotonic() - self.idle_since)
         if self.exchange is not None:
-            # The whole request may have left this process, so the backend may have run it: never a resend.
+            # After the last byte the backend may have run the request, so it is not sent again from here.
             exchange, self.exchange = self.exchange, None
             if not exchange.sent:
                 self._fail_unsent(exchange)
@@ -234,8 +250,8 @@
             now = time.monotonic()
             log.info(
                 "attempt_reset", id=exchange.id or None, backend="{}:{}".format(*self.upstream.address),
-                after_s=now - exchange.started_at, answered_bytes=self.bytes_received, connection_s=now - self.connected_at,
-                rested_s=self.idle_for, carried=self.exchange_count,
+                after_s=now - exchange.started_at, answered_bytes=self.bytes_received,
+                connection_s=now - self.connected_at, rested_s=self.idle_for, carried=self.exchange_count,
             )  # fmt: skip
             exchange.end(Status.RESET)
 
@@ -248,7 +264,7 @@
         self.upstream.last_received_at = time.monotonic()
         if self.exchange is None or not self.exchange.sent:
             exchange = self.exchange
-            self.abandon()  # nothing was asked: an answer to nobody
+            self.abandon()  # data without a request is not the answer to anything
             if exchange is not None:
                 self._fail_unsent(exchange)
             return
@@ -256,12 +272,12 @@
         malformed = False
         try:
             self.parser.feed_data(data)
-            # httptools gathers a header that does not end without a word, so what comes is counted as it is.
+            # httptools buffers an endless header without an error, so the bytes are counted as they arrive.
             if self.pending_answer is None and self.bytes_received > (
                 MAX_RAW_ANSWER_BYTES if self.headers_complete else MAX_HEADER_BYTES
             ):
-                raise ValueError("the answer does not end")
-        except Exception as error:  # garbage; it may still have run
+                raise ValueError("the answer exceeds the size limit")
+        except Exception as error:  # the answer is malformed, but the request may have run
             cause = error.__context__ or error
             log.warning(
                 "answer_unusable", id=self.exchange.id or None,
@@ -269,7 +285,7 @@
             )  # fmt: skip
             malformed = True
         if self.pending_answer is not None:
-            if malformed:  # it is whole and good, but more came than belongs to it
+            if malformed:  # the answer is complete and valid, but followed by unexpected data
                 self.pending_answer = self.pending_answer[0], False
             self._deliver()
         elif malformed:
@@ -294,7 +310,7 @@
             raise ValueError("more than one answer to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.headers_complete:  # a trailer is no header
+        if not self.headers_complete:  # trailers are dropped
             self.headers.append(normalize_header(name, value))
 
     def on_headers_complete(self) -> None:
@@ -302,22 +318,22 @@
         if 100 <= code < 200:
             return
         self.headers_complete = True
-        if self.bytes_received > MAX_HEADER_BYTES + MAX_BODY_BYTES:  # came in one piece
+        if self.bytes_received > MAX_HEADER_BYTES + MAX_BODY_BYTES:  # all arrived in one read
             raise ValueError("headers too large")
         lengths = [value for name, value in self.headers if name == b"content-length"]
         codings = [value for name, value in self.headers if name == b"transfer-encoding"]
         if codings:
             if lengths or len(codings) > 1 or codings[0].lower() != b"chunked":
-                raise ValueError("no one way to tell its length")
+                raise ValueError("ambiguous body length")
         elif lengths:
             if len(lengths) > 1 or not lengths[0].isdigit():
-                raise ValueError("a length that can't be read")
+                raise ValueError("invalid content-length")
             if len(lengths[0]) > 15 or int(lengths[0]) > MAX_BODY_BYTES:
                 raise ValueError("body too large")
         elif code not in (204, 304):
-            # It ends with the connection, if the backend says that it will: else there is no end to wait for.
+            # The body ends with the connection. The backend has to announce that: else there might be no end.
             if not any(name == b"connection" and value.lower() == b"close" for name, value in self.headers):
-                raise ValueError("no length")
+                raise ValueError("no body length and no connection: close")
             self.body_until_close = True
 
     def on_body(self, chunk: bytes) -> None:
@@ -329,11 +345,12 @@
     def on_message_complete(self) -> None:
         code = self.parser.get_status_code()
         if 100 <= code < 200 and code != 101:
-            self.headers = []  # an interim answer
+            self.headers = []  # of an interim answer
         else:
-            self.pending_answer = code, code != 101 and self.parser.should_keep_alive()  # known only here
+            self.pending_answer = code, code != 101 and self.parser.should_keep_alive()  # only valid here
 
     def start_exchange(self, exchange: Exchange) -> None:
+        """Writes the request except for its last byte, which follows after LAST_BYTE_DELAY."""
         assert self.transport is not None
         self.exchange = exchange
         self.idle_for = time.monotonic() - self.idle_since if self.exchange_count else 0.0
@@ -349,9 +366,11 @@
         self.upstream.owner.loop.call_later(LAST_BYTE_DELAY, self._send_last_byte, exchange)
 
     def _send_last_byte(self, exchange: Exchange) -> None:
-        """The last byte: with it a request may run, and one that may have run can often not be sent again.
-        So it goes only to a connection that took the others without breaking. What came meanwhile and lies
-        unread was not asked for, and would be taken for the answer."""
+        """Sends the last byte, if the connection has accepted all others without breaking.
+
+        A backend starts a request when its last byte arrives, and a request that may have run often can't be
+        retried. Data that arrived before the last byte would be mistaken for the answer.
+        """
         if (
             self.exchange is not exchange
             or self.transport is None
@@ -360,22 +379,23 @@
             return
         if time.monotonic() >= exchange.send_deadline:
             exchange.end(Status.MOOT)
-        elif self.transport.get_write_buffer_size():  # the peer takes its time with what comes before
+        elif self.transport.get_write_buffer_size():  # the backend has not taken the bytes before it yet
             self.upstream.owner.loop.call_later(LAST_BYTE_DELAY, self._send_last_byte, exchange)
         else:
             exchange.sent = True
             self.transport.write(exchange.last_byte)
 
     def _fail_unsent(self, exchange: Exchange) -> None:
+        """The connection broke before the last byte of the exchange was sent."""
         self.upstream.owner.counts["broken before the last byte"] += 1
         exchange.on_broken_unsent(new_connection=self.exchange_count == 1)
 
     def has_unread_data(self) -> bool:
-        """Whether bytes nobody asked for, or the connection's end, lie in its socket by now."""
+        """Returns whether the socket holds unread data, or the end of the connection."""
         return self.has_pending_events(select.POLLIN)
 
     def has_pending_events(self, events: int) -> bool:
-        """Whether the connection ends, or the loop has yet to hear one of these events from its socket."""
+        """Returns whether the connection is closing, or its socket has one of the poll events `events`."""
         if self.transport is None or self.transport.is_closing():
             return True
         poll = select.poll()
@@ -383,14 +403,17 @@
         return bool(poll.poll(0))
 
     def abandon(self) -> None:
+        """Closes the connection at once and detaches it from its exchange."""
         self.exchange = None
         self.upstream.remove_idle(self)
         if self.transport is not None:
             self.transport.abort()
 
     def _end_malformed(self) -> None:
-        """The backend answered, with something of no use: an error that may have run. Unlike a reset it says
-        nothing of whether the backend is up."""
+        """Ends the exchange with an error after a malformed answer; the request may have run.
+
+        Unlike a reset this says nothing about whether the backend is up.
+        """
         exchange = self.exchange
         self.abandon()
         if exchange is not None:
@@ -399,23 +422,28 @@
 
 
 class Upstream:
-    """One backend as discovery last listed it, with its connections."""
+    """One backend as discovery last listed it, and its connections."""
 
     __slots__ = ("address", "connections", "idle", "last_received_at", "owner", "started_at", "state")
 
     def __init__(self, owner: Upstreams, address: Address, started_at: float, state: ServerState) -> None:
         self.owner, self.address, self.started_at, self.state = owner, address, started_at, state
         self.connections: set[Connection] = set()
-        self.last_received_at = 0.0  # when it last sent anything
+        self.last_received_at = 0.0  # monotonic, of data on any of its connections
         self.idle: list[Connection] = []
 
     @property
     def serving(self) -> bool:
+        """Whether requests may be sent to it."""
         return self.state is ServerState.SERVING
 
     def take_idle(self, max_idle_age: float) -> Connection | None:
-        """The connection used last: the others grow old and are closed. One that was in use just now only
-        where there is no other. None that has rested longer than is trusted."""
+        """Returns an idle connection, or None if there is none that may be reused.
+
+        The most recently used one is preferred, so that surplus connections reach the idle timeout. One that
+        was in use less than REUSE_DELAY ago is returned only if there is no other. Connections that have been
+        idle for more than `max_idle_age` seconds are closed.
+        """
         now = time.monotonic()
         min_idle_since, reusable_since = now - min(self.owner.idle_timeout, max_idle_age), now - REUSE_DELAY
         while self.idle:
@@ -433,6 +461,7 @@
         return None
 
     def release(self, connection: Connection) -> None:
+        """Returns a connection to the idle ones, or closes it if the backend is not used any more."""
         if connection not in self.connections or not self.serving:
             connection.abandon()
             return
@@ -440,26 +469,29 @@
         self.idle.append(connection)
 
     def remove_idle(self, connection: Connection) -> None:
+        """Removes a connection from the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
 
     def on_connection_lost(self, connection: Connection) -> None:
+        """Updates the bookkeeping for a connection that is closed."""
         self.remove_idle(connection)
         self.connections.discard(connection)
         self.owner.open_connections -= 1
 
     def close_idle(self, unused_since: float = float("inf")) -> None:
+        """Closes the connections that have been idle since `unused_since` (monotonic) or longer."""
         for connection in [c for c in self.idle if c.idle_since <= unused_since]:
             connection.abandon()
 
     def drop_connections(self) -> None:
-        """The process behind the address is another one: no connection may be inherited."""
+        """Another process runs at the address: the connections of the earlier one must not be reused."""
         self.close_idle()
-        self.connections.clear()  # those in use end with their exchange, in keep()
+        self.connections.clear()  # those in use are closed in release(), after their exchange
 
 
 class Upstreams:
-    """All backends, and the bound on connections to them."""
+    """All backends, with a common limit of connections."""
 
     def __init__(
         self,
@@ -472,23 +504,25 @@
         self.connect_timeout = connect_timeout
         self.idle_timeout = IDLE_TIMEOUT_SHARE * conn_idle
         self.max_connections = max_connections
-        self.on_idle_closed = on_idle_closed  # told of each idle connection that the other side ends
-        self.open_connections = 0  # connections that are up
-        self.counts: Counter[str] = Counter()  # of connections, since the last line of figures
+        self.on_idle_closed = on_idle_closed  # called when a backend closes an idle connection
+        self.open_connections = 0
+        self.counts: Counter[str] = Counter()  # of connection events, since the last statistics line
         self.by_id: dict[int, Upstream] = {}
         self._connect_tasks: set[asyncio.Task[None]] = set()
         self.loop.call_later(IDLE_SWEEP_INTERVAL, self._sweep)
 
     @property
     def descriptors_in_use(self) -> int:
-        """Descriptors in use or soon to be."""
+        """Number of file descriptors of connections and of connects in progress."""
         return self.open_connections + len(self._connect_tasks)
 
     @property
     def ready(self) -> bool:
+        """Whether any backend can serve requests."""
         return any(upstream.serving for upstream in self.by_id.values())
 
     def apply(self, listing: Listing) -> None:
+        """Updates the backends from a list of discovery."""
         listed_servers = set()
         for listed in listing.backends:
             entry = listed.entry
@@ -507,9 +541,10 @@
             if not upstream.serving:
                 upstream.close_idle()
             if upstream.state is ServerState.GONE:
-                del self.by_id[server]  # what is out on it ends by itself
+                del self.by_id[server]  # attempts in flight on it end by themselves
 
     def start(self, exchange: Exchange) -> None:
+        """Runs the exchange on an idle connection, or on a new one if there is none."""
         upstream = exchange.upstream
         connection = upstream.take_idle(exchange.max_idle_age)
         if connection is not None:
@@ -519,14 +554,17 @@
             else:
                 self._reuse(exchange, connection)
         elif self.descriptors_in_use >= self.max_connections and not self._evict_idle():
-            exchange.end(Status.MOOT)  # this proxy's own bound: no fault of the backend's
+            exchange.end(Status.MOOT)  # the limit is this proxy's own and says nothing about the backend
         else:
             task = self.loop.create_task(self._connect(exchange, upstream))
             self._connect_tasks.add(task)
             task.add_done_callback(self._connect_tasks.discard)
 
     def _reuse(self, exchange: Exchange, connection: Connection) -> None:
-        """Bytes that lie unread would be taken for the answer to what is sent now."""
+        """Runs the exchange on an idle connection, unless that has broken or holds unread data.
+
+        Unread data would be mistaken for the answer to the new request.
+        """
         if connection in connection.upstream.connections and not connection.has_unread_data():
             exchange.run_on(connection)
             return
@@ -540,14 +578,14 @@
         try:
             await self._open_connection(connection, address)
             if (address, started_at) != (upstream.address, upstream.started_at):
-                raise ConnectionError("the backend is another one by now")
+                raise ConnectionError("the backend changed during the connect")
             if connection.transport is None:
-                raise ConnectionError("lost as soon as made")
+                raise ConnectionError("the connection was lost right after the connect")
             upstream.connections.add(connection)
             exchange.run_on(connection)
         except (OSError, TimeoutError) as error:
             connection.abandon()
-            # What this machine lacks is no fault of the backend's.
+            # A local shortage of resources says nothing about the backend.
             local = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
             exchange.end(Status.MOOT if local else Status.CONNECT_FAILED)
         except Exception:
@@ -556,8 +594,11 @@
             exchange.end(Status.RESET)
 
     async def _open_connection(self, connection: Connection, address: Address) -> None:
-        """Raises OSError, TimeoutError too. Where this process stood still, its timers come before its
-        sockets: the connection may have come up long ago."""
+        """Connects within the connect timeout. Raises OSError or TimeoutError.
+
+        After a stall of this process the timers run before the sockets are read, and the connection may be up
+        already. So the sockets are read once more before the connect counts as failed.
+        """
         timer_due = time.monotonic() + self.connect_timeout
         opening = self.loop.create_task(self.loop.create_connection(lambda: connection, *address))
         await asyncio.wait([opening], timeout=self.connect_timeout)
@@ -571,7 +612,7 @@
         opening.result()
 
     def _evict_idle(self) -> bool:
-        """At the bound, the connection that is idle the longest makes room."""
+        """Closes the connection that has been idle the longest. Returns False if there is none."""
         idle = [c for upstream in self.by_id.values() for c in upstream.idle[:1]]
         if not idle:
             return False
