--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,5 +1,8 @@
-"""Backends that answer badly: each answer is served whole, or its attempt ends at once as one that may have
-run; nothing is served that belongs to another request."""
+"""Malformed and unusual answers of backends, and connections to backends that break.
+
+A valid answer is served completely. Any other answer ends its attempt at once as one that may have run.
+Nothing is ever served as the answer to another request.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +49,8 @@
 
 
 async def assert_attempt_fails_at_once(backend: Backend) -> None:
-    """The budget and the attempt's time are seconds: only the answer itself can end it this soon."""
+    """Budget and attempt timeout are several seconds, so only the answer itself can end the attempt this
+    soon."""
     async with proxy({"s-1": backend}) as node:
         caller = await node.caller()
         started = asyncio.get_running_loop().time()
@@ -59,7 +63,7 @@
 
 
 @pytest.mark.parametrize("malformed", MALFORMED_ANSWERS.values(), ids=MALFORMED_ANSWERS)
-def test_a_spoilt_answer_ends_its_attempt_at_once(malformed: bytes) -> None:
+def test_a_malformed_answer_ends_its_attempt_at_once(malformed: bytes) -> None:
     async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
         writer.write(malformed)
 
@@ -93,7 +97,7 @@
 
 
 @pytest.mark.parametrize(("answer", "reused"), VALID_ANSWERS.values(), ids=VALID_ANSWERS)
-def test_a_good_answer_is_served_and_what_came_behind_it_is_not(answer: bytes, reused: bool) -> None:
+def test_a_valid_answer_is_served_without_the_data_that_follows_it(answer: bytes, reused: bool) -> None:
     async def test() -> None:
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
@@ -128,7 +132,7 @@
 
 
 async def receive_request(backend: socket.socket) -> None:
-    """A backend begins a request when its last byte has come."""
+    """Reads a complete request. A backend starts to run a request when its last byte has arrived."""
     received = b""
     while not received.endswith(b"\r\n\r\n"):
         part = await asyncio.get_running_loop().sock_recv(backend, 1000)
@@ -145,8 +149,8 @@
 def test_a_connection_that_breaks_before_the_last_byte_has_run_nothing(
     answers_before: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was lost unseen. What was written of the request can't have run: a kept connection's goes out on
-    the next one, a new connection's ends as a failed connect."""
+    """The connection was lost unnoticed. As its last byte was not sent, the request can't have run: it is
+    sent on another connection if this one was reused, and ends as a failed connect if it was new."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -165,7 +169,7 @@
 
         async with asyncio.timeout(PATIENCE):
             if not answers_before:
-                monkeypatch.setattr(up, "LAST_BYTE_DELAY", PATIENCE)  # the break comes before the last byte
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY", PATIENCE)  # it breaks before the last byte
             start()
             backend, _ = await loop.sock_accept(listener)
             for _ in range(answers_before):
@@ -193,7 +197,7 @@
     run(test())
 
 
-def test_a_connection_that_rested_longer_than_is_trusted_is_closed() -> None:
+def test_a_connection_that_was_idle_for_longer_than_the_maximum_age_is_closed() -> None:
     async def test() -> None:
         backend = await Backend().start()
         idle_times: asyncio.Queue[float] = asyncio.Queue()
@@ -220,7 +224,7 @@
             owner.by_id[1].idle[0].idle_since -= 6.0
             assert await idle_time_of_next_exchange(5.0) == 0.0
             assert await backend.closed.get() == 1 and backend.connections == 2
-            assert idle_times.empty()  # this side closed it
+            assert idle_times.empty()  # closed by this side
             owner.by_id[1].idle[0].idle_since -= 3.0
             await backend.stop()
             assert await idle_times.get() >= 3.0
@@ -228,8 +232,9 @@
     run(test())
 
 
-def test_bytes_that_lie_unread_never_answer_the_next_request() -> None:
-    """The copy is in the socket before the next request is sent, and the loop has not read it yet."""
+def test_unread_bytes_never_answer_the_next_request() -> None:
+    """A copy of the answer is in the socket before the next request is sent; the event loop has not read it
+    yet."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -266,10 +271,10 @@
     run(test())
 
 
-def test_a_connection_that_came_up_while_the_process_stood_still_is_used(
+def test_a_connection_that_was_established_during_a_stall_is_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The stall is longer than the time to connect, and the timer for that comes before the socket."""
+    """The stall is longer than the connect timeout, and after it the timer runs before the socket is read."""
 
     async def test() -> None:
         backend = await Backend().start()
@@ -280,7 +285,7 @@
 
         async def stalled(factory: Any, host: str, port: int) -> Any:
             connecting = owner.loop.create_task(connect(factory, host, port))
-            await asyncio.sleep(0)  # it has begun
+            await asyncio.sleep(0)  # lets the connect start
             time.sleep(0.1)
             return await connecting
 
@@ -296,8 +301,8 @@
 
 
 def test_bytes_before_the_last_byte_never_answer_the_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A second answer arrives between a request and its last byte, and that is written before the loop reads:
-    timers come first where the process stood still."""
+    """A second answer arrives between a request and its last byte, and the last byte is due before the event
+    loop reads the socket: after a stall timers run first."""
     start_exchange = up.Connection.start_exchange
     backends: list[socket.socket] = []
 
@@ -336,8 +341,9 @@
     run(test())
 
 
-def test_a_closed_connection_leaves_no_cycle_behind() -> None:
-    """A parser holds its connection: cut by hand, for the cycle collector seldom looks at what is old."""
+def test_a_closed_connection_leaves_no_reference_cycle() -> None:
+    """Parser and connection refer to each other. The cycle is broken explicitly, as the garbage collector
+    seldom visits old objects."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -364,8 +370,9 @@
     run(test())
 
 
-def test_one_reset_connection_does_not_take_a_live_backend_out() -> None:
-    """It has just answered others. Four calls at once go to both backends; were one left, to the other."""
+def test_one_reset_connection_does_not_eject_a_live_backend() -> None:
+    """The backend has just answered other calls. Four concurrent calls go to both backends; if the first one
+    was ejected, all would go to the other."""
 
     async def test() -> None:
         release = asyncio.Event()
@@ -386,32 +393,33 @@
                 assert [(await caller.answer()).code for caller in callers] == [200] * 4
             before = [backend.count for backend in backends.values()]
             assert (await callers[0].call("canje", "dead" + "0" * 12)).code == 502
-            reset_backend = next(
+            resetting_backend = next(
                 b for b, count in zip(backends.values(), before, strict=True) if b.count > count
             )
-            count = reset_backend.count
+            count = resetting_backend.count
             for number, caller in enumerate(callers):
                 caller.send("canje", f"hold{number:012x}", budget="5000m")
             async with asyncio.timeout(PATIENCE):
                 while sum(backend.count for backend in backends.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
-            assert reset_backend.count > count
+            assert resetting_backend.count > count
             release.set()
             assert [(await caller.answer()).code for caller in callers] == [200] * 4
 
     run(test())
 
 
-def test_a_class_that_one_backend_turns_away_goes_to_the_other() -> None:
-    """It serves the other classes and so looks idle; its refusals come at once here, or slowly elsewhere."""
+def test_a_class_that_one_backend_rejects_goes_to_the_other() -> None:
+    """The backend serves the other classes and so looks idle. Its rejections come at once here; elsewhere
+    they may be slow."""
 
     async def test() -> None:
-        turned_away = 0
+        rejected = 0
 
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            nonlocal turned_away
+            nonlocal rejected
             if seen.target.startswith("/canje"):
-                turned_away += 1
+                rejected += 1
                 writer.write(response(503, X_Rejected="1"))
             else:
                 writer.write(response(200, b"done"))
@@ -422,7 +430,7 @@
             for number in range(40):
                 assert (await caller.call("canje", f"c{number:015x}")).code == 200
                 assert (await caller.call("stock", f"s{number:015x}")).code == 200
-        assert turned_away <= 6  # about half of 40 where each class is sent by load alone
+        assert rejected <= 6  # load alone would send about half of the 40 there
 
     run(test())
 
@@ -431,6 +439,6 @@
     "text", ["", "x", "inflight=", "inflight=-1", "inflight=1e300", "inflight=nan", "inflight=inf",
              "inflight=1,inflight=9", "inflight=1,busy_reqs=9", "inflight=3,queue=-2", "inflight=7;queue=1"]
 )  # fmt: skip
-def test_a_load_report_that_cannot_be_is_none(text: str) -> None:
+def test_an_impossible_load_report_is_ignored(text: str) -> None:
     assert read_report(text.encode()) is None
     assert read_report(b"inflight=7,queue=2") == {"busy_reqs": 7.0, "pending": 2.0}
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,5 @@
-"""Many instances before one cold server: what they send it together, against the rule's bound."""
+"""A cold server that many instances send to: their total load has to stay within the limit of the
+contract."""
 
 from __future__ import annotations
 
@@ -29,20 +30,27 @@
     Timer,
 )
 
+# A server starts with COLD_CAPACITY of its full capacity and reaches that after WARM_UP_TIME seconds. In any
+# LOAD_WINDOW seconds it may get LOAD_MULTIPLE times the calls that it can serve.
 LOAD_MULTIPLE, LOAD_WINDOW, COLD_CAPACITY, WARM_UP_TIME = 3.0, 2.0, 0.39, 8.0
 COLD_SERVER, COLD_START, END = 99, 12.0, 20.0
 
 
 def sends_to_cold(instances: int, warm: int, work: float, utilization: float, seed: int) -> list[float]:
-    """When the cold server gets calls. Traffic is uneven; from its start on there is half as much again."""
+    """Returns the times of the calls that the cold server gets.
+
+    `warm` servers are warm from the start, `work` is the mean duration of a call in seconds, `utilization`
+    the share of the capacity in use. Load differs between instances, and grows by half when the cold server
+    starts.
+    """
     random, sequence = Random(seed), count()
     cls = RequestClass("once", worth=1, aim=1.2, deadline=3.0, late_worth=0.5, effect=Effect.ONCE)
     weights = [0.2 + random.expovariate(1) for _ in range(instances)]
     rates = [utilization / work * (warm + 1) * weight / sum(weights) for weight in weights]
     schedule_heap: list[tuple[float, int, int, Event | None]] = []
 
-    def schedule(send_time: float, instance: int, event: Event | None) -> None:
-        heapq.heappush(schedule_heap, (send_time, next(sequence), instance, event))
+    def schedule(event_time: float, instance: int, event: Event | None) -> None:
+        heapq.heappush(schedule_heap, (event_time, next(sequence), instance, event))
 
     balancers: list[Balancer] = []
     for instance in range(instances):
@@ -60,14 +68,14 @@
             **cold_settings,
         )
         balancers.append(Balancer(balancer_settings, seed * 1000 + instance))
-        balancers[-1].admission.window = 50.0  # what limits is the ramp alone
+        balancers[-1].admission.window = 50.0  # so that only the slow start limits the calls
         schedule(0.0, instance, ServerList(ListKind.SAVED, [ServerEntry(s, zone="a") for s in range(warm)]))
         cold_server_list = ServerList(
             ListKind.INCREMENTAL, [ServerEntry(COLD_SERVER, zone="a", started_at=COLD_START)]
         )
         schedule(COLD_START + 0.3 * random.random(), instance, cold_server_list)
         schedule(random.expovariate(rates[instance]), instance, None)
-    call_ends_by_server: dict[int, list[float]] = {}  # by server: when its calls end, one after another
+    call_ends_by_server: dict[int, list[float]] = {}  # a server runs its calls one after another
     cold_sends: list[float] = []
     calls = count()
     while schedule_heap[0][0] < END:
@@ -83,7 +91,7 @@
             if isinstance(action, SetTimer):
                 schedule(now + action.delay, instance, Timer(action.token))
             elif isinstance(action, Probe):
-                report = {"busy_reqs": 0.0 if action.server == COLD_SERVER else 20.0}  # it looks idle to all
+                report = {"busy_reqs": 0.0 if action.server == COLD_SERVER else 20.0}  # it looks idle
                 schedule(now, instance, Probed(action.server, Status.OK, 0.0, report))
             elif isinstance(action, Send):
                 call_ends = call_ends_by_server[action.server] = [
@@ -105,7 +113,7 @@
     ("instances", "warm", "work"), [(2, 3, 0.05), (30, 5, 0.05), (30, 5, 0.3), (60, 8, 0.3)]
 )
 def test_all_instances_together_keep_a_cold_server_s_budget(instances: int, warm: int, work: float) -> None:
-    """What chance may add to a budget of N calls is 2 x root of N + 2, however many instances send."""
+    """Random variation may add 2 x sqrt(N) + 2 to a budget of N calls, however many instances send."""
     for seed in (1, 2):
         cold_sends = sends_to_cold(instances, warm, work, 0.9, seed)
         assert len(cold_sends) > 3
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,5 @@
-"""Discovery's side on real sockets: what falls silent, fails or comes in another order than asked for."""
+"""The client of discovery on real sockets: calls that are never answered, fail, or are answered out of
+order."""
 
 from __future__ import annotations
 
@@ -33,12 +34,12 @@
 from granitepoint.net.listing import Listing
 
 ADDRESS = "127.0.0.1:9"
-# What a new address is asked where version 1 is held, or the only change that was told began from it.
+# Target of the first call to a new address, if version 1 is current or the last change started from it.
 FIRST_TARGET = f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}"
 
 
 class ReceivedCall:
-    """A call as discovery got it, answered when the test says so."""
+    """A call as discovery received it; the test decides when and how it is answered."""
 
     def __init__(self, target: str, connection: int, writer: asyncio.StreamWriter) -> None:
         self.target, self.connection, self.writer = target, connection, writer
@@ -51,8 +52,7 @@
 
 
 class ScriptedDiscovery:
-    """A discovery that says nothing unless told to, on any number of connections, and what the client made
-    of it."""
+    """A discovery service that answers only when the test says so, and what its client reported."""
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[ReceivedCall] = asyncio.Queue()
@@ -85,13 +85,14 @@
             server.close()
 
     async def next(self, target: str) -> ReceivedCall:
+        """Returns the next call, which must have a target that starts like this."""
         call = await self.calls.get()
         assert call.target.startswith(target), call.target
         return call
 
 
 def set_watch_timeouts(monkeypatch: pytest.MonkeyPatch, wait: float) -> None:
-    """How long a watch is waited for before it is asked anew, whether or not the list is confirmed, in s."""
+    """Sets the seconds after which a watch is opened anew, whether or not the list is confirmed."""
     monkeypatch.setattr(net, "RENEW_AFTER", wait)
     monkeypatch.setattr(net, "CONFIRM_TIMEOUT", wait)
 
@@ -100,18 +101,18 @@
     return [listed.entry.state.value for listed in received.backends]
 
 
-def test_a_watch_is_renewed_early_enough_to_be_tried_again_before_silence_counts_as_told() -> None:
-    queue_time = 2.0  # s that a call may wait, and then fail
+def test_a_watch_is_renewed_early_enough_for_retries_before_silence_counts_as_notified() -> None:
+    queue_time = 2.0  # seconds that a call may wait before it fails
     notified_after = net.HOLD_MS / 1000 + 2.0
     assert (
         notified_after - net.RENEW_AFTER >= queue_time + queue_time + queue_time
-    )  # the pause is no longer than the wait before it
-    assert notified_after - net.RENEW_AFTER >= LEASE  # after the first that fails, leases hold
+    )  # the retry delay is no longer than the wait before it
+    assert notified_after - net.RENEW_AFTER >= LEASE  # leases cover the time after the first failure
     assert net.HOLD_MS <= 60_000
 
 
-def test_a_first_call_that_is_silent_is_asked_anew_in_time_and_none_that_waits_its_turn() -> None:
-    """What a silent one misses counts as told 6 s after it fell silent: its hold is short."""
+def test_a_first_call_is_repeated_in_time_if_it_is_dead_but_not_while_it_is_queued() -> None:
+    """What a dead first call misses counts as notified 6 s after it went silent, as its hold is short."""
     queue_time, hold = 2.0, net.CONFIRM_HOLD_MS / 1000
     assert queue_time + hold < net.CONFIRM_TIMEOUT * (1 - net.TIMEOUT_JITTER)
     assert (
@@ -123,10 +124,10 @@
 
 
 @pytest.mark.parametrize("confirmed", [False, True])
-def test_a_watch_that_falls_silent_is_told_with_the_time_until_all_that_it_misses_counts(
+def test_a_dead_watch_is_reported_with_the_time_until_all_that_it_misses_counts_as_notified(
     confirmed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Once that has come, no lease is long enough, so it has to be known."""
+    """No lease may last beyond that time, so the balancer has to know it."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -153,7 +154,7 @@
     run(test())
 
 
-def test_a_call_that_ends_after_a_later_one_was_answered_loses_nothing(
+def test_an_old_call_that_ends_after_a_newer_one_was_answered_does_not_lose_the_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -174,13 +175,13 @@
     run(test())
 
 
-def test_a_first_list_is_not_asked_for_twice_while_the_call_waits_its_turn() -> None:
-    """All proxies move at once, and twice the calls take twice as long."""
+def test_a_first_list_is_not_requested_twice_while_the_call_is_queued() -> None:
+    """All proxies move at once, and twice the calls would take twice as long."""
     assert net.MOVE_RETRY_AFTER * (1 - net.TIMEOUT_JITTER) > LONGEST_TURN * 0.9 > 2.0
 
 
-def test_a_silent_watch_is_asked_anew_beside_the_open_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing ends the first call: no answer, no close. The change that it missed comes with the second."""
+def test_a_dead_watch_is_renewed_beside_the_open_call(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The first call is neither answered nor closed. The second one brings the change that it missed."""
     set_watch_timeouts(monkeypatch, 0.05)
 
     async def test() -> None:
@@ -199,8 +200,8 @@
     run(test())
 
 
-def test_a_change_told_on_the_watch_that_is_being_renewed_is_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What discovery writes counts as told, whichever of the two calls it is written to."""
+def test_a_change_on_a_watch_that_is_being_renewed_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
+    """What discovery writes counts as notified, whichever of the two calls it answers."""
     set_watch_timeouts(monkeypatch, 0.05)
 
     async def test() -> None:
@@ -215,10 +216,10 @@
     run(test())
 
 
-def test_a_renewal_that_fails_is_tried_again_while_the_watch_before_it_waits(
+def test_a_failed_renewal_is_retried_while_the_earlier_call_is_still_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The module's pause after a failure would be longer than what is left."""
+    """The balancer's delay after a failure would be longer than the time that is left."""
     set_watch_timeouts(monkeypatch, 0.05)
     monkeypatch.setitem(backoff.PAUSES, Failure.AT_ONCE, backoff.Pause(0.01, 1.0, 0.01, 1.0))
 
@@ -232,17 +233,17 @@
             (await peer.next("/v1/servers?from=1&")).fail()
             (await peer.next("/v1/servers?from=1&")).answer(2)
             assert (await peer.lists.get()).version == 2 and peer.failures == 0
-            first.writer.transport.abort()  # the one before it ends: no failure while a later one is open
+            first.writer.transport.abort()  # no failure, as a newer call is open
             last = await peer.next("/v1/servers?from=2&")
             assert peer.failures == 0
-            last.fail()  # nothing else is out: the module decides when to ask again
+            last.fail()  # no other call is open, so the balancer decides when to retry
             while not peer.failures:
                 await asyncio.sleep(0)
 
     run(test())
 
 
-def test_the_first_list_of_a_new_address_is_asked_for_again_if_the_call_is_silent(
+def test_the_first_list_of_a_new_address_is_requested_again_if_the_call_is_dead(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(net, "MOVE_RETRY_AFTER", 0.05)
@@ -257,14 +258,14 @@
             monkeypatch.setattr(net, "MOVE_RETRY_AFTER", PATIENCE)
             second.answer(9, endpoint("s-1", ADDRESS), snapshot=True)
             while (await peer.calls.get()).target == FIRST_TARGET:
-                pass  # a third may have gone out meanwhile
+                pass  # a third call may have been sent in the meantime
             assert (await peer.lists.get()).version == 9 and peer.failures == 0
 
     run(test())
 
 
-def test_a_whole_list_that_was_asked_for_before_a_newer_change_came_is_dropped() -> None:
-    """It would bring a draining backend back."""
+def test_a_full_list_that_was_requested_before_a_newer_change_is_dropped() -> None:
+    """It would turn a draining backend back into a serving one."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -286,8 +287,8 @@
     run(test())
 
 
-def test_lower_versions_of_a_discovery_that_started_anew_are_taken() -> None:
-    """Asked for after the last list came, so it is no older than that."""
+def test_lower_versions_after_a_restart_of_discovery_are_accepted() -> None:
+    """The list was requested after the last one had arrived, so it is not older."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -301,8 +302,9 @@
     run(test())
 
 
-def test_a_watch_on_pushed_lists_that_ends_is_opened_again_by_itself() -> None:
-    """What is pushed counts as told whether or not a watch is open, so there is no pause to decide on."""
+def test_a_watch_on_pushed_lists_is_reopened_by_the_client() -> None:
+    """Pushed changes count as notified whether or not a watch is open, so the balancer has no delay to
+    choose."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -313,9 +315,9 @@
             (await peer.next("/v1/servers?from=1&")).answer(2, endpoint("s-1", ADDRESS, "Terminating"))
             await peer.next("/v1/servers?from=2&")
             assert states(await peer.lists.get()) == ["draining"] and peer.failures == 0
-            client.move(client.address)  # SIGHUP: its first list, however often that fails
+            client.move(client.address)  # as on SIGHUP; its first call is repeated however often it fails
             for _ in range(net.MAX_MOVE_TRIES + 1):
-                (await peer.next(FIRST_TARGET)).fail()  # from before the last change
+                (await peer.next(FIRST_TARGET)).fail()  # from the version before the last change
             (await peer.next(FIRST_TARGET)).answer(9, snapshot=True)
             await peer.next("/v1/servers?from=9&")
             assert peer.failures == 0
@@ -323,14 +325,16 @@
     run(test())
 
 
-def test_a_proxy_whose_lists_are_pushed_keeps_to_them() -> None:
+def test_a_proxy_with_pushed_lists_follows_them() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         draining, added = Backend(), await Backend().start()
         async with proxy({"s-1": draining}, discovery, discovery="push") as node:
             async with asyncio.timeout(PATIENCE):
                 await discovery.until_asked(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
-                discovery.put(2, endpoint("s-1", draining.address, "Terminating"), endpoint("s-2", added.address))
+                discovery.put(
+                    2, endpoint("s-1", draining.address, "Terminating"), endpoint("s-2", added.address)
+                )
                 await discovery.until_asked("/v1/servers?from=2&")
             assert (await (await node.caller()).call("canje", "1" * 16)).code == 200
             await next_call(added)
@@ -340,8 +344,9 @@
     run(test())
 
 
-def test_a_watch_asked_for_again_leaves_the_call_that_is_out() -> None:
-    """The module doubts a list just when it changes: what is written to the open watch counts as told."""
+def test_a_repeated_watch_leaves_the_earlier_call_open() -> None:
+    """The balancer suspects a stale list just when it changes, and an answer to the open call counts as
+    notified."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -356,17 +361,18 @@
     run(test())
 
 
-def test_the_first_list_of_a_new_address_is_asked_for_once_when_the_module_asks_too(
+def test_the_first_list_of_a_new_address_is_requested_once_if_the_balancer_opens_a_watch_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After SIGHUP there are 4 s: a call that is given up and made anew waits its turn from the start. The
-    module's first watch comes at a random time within 2 s of the start, so also while that call is out."""
+    """Changes count as notified 4 s after SIGHUP, and a call that is repeated is queued from the start. The
+    first watch of the balancer comes at a random time within 2 s of the start, so possibly while that call is
+    open."""
     monkeypatch.setattr(net, "MOVE_RETRY_AFTER", PATIENCE)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
         async with peer.client() as client:
-            for version in (1, 2):  # the second move ends a watch that goes on
+            for version in (1, 2):  # the second move ends an established watch
                 client.move(client.address)
                 client.watch(True)
                 first = await peer.next(FIRST_TARGET if version == 1 else "/v1/servers?from=1&hold_ms=")
@@ -374,16 +380,16 @@
                 first.answer(version, endpoint("s-1", ADDRESS, "Terminating"), snapshot=True)
                 assert states(await peer.lists.get()) == ["draining"]
                 await peer.next(f"/v1/servers?from={version}&")
-                client.watch(True)  # with a list the module is heard
+                client.watch(True)  # after the first list a repeated watch makes a new call
                 await peer.next(f"/v1/servers?from={version}&")
 
     run(test())
 
 
-def test_a_first_list_that_was_asked_for_in_vain_is_asked_for_when_the_module_asks(
+def test_after_all_tries_of_a_first_list_failed_the_balancer_can_request_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The watch that was to go on by itself has ended, and a move has put another in its place."""
+    """The watch that retried by itself has ended, and it had replaced one that a second move cancelled."""
     monkeypatch.setattr(net, "Backoff", lambda random, **rest: backoff.Backoff(random, longest=0.001))
 
     async def test() -> None:
@@ -391,7 +397,7 @@
         async with peer.client() as client:
             client.on_failed = lambda: client.watch(True)
             client.move(client.address)
-            client.move(client.address)  # the first has not asked yet
+            client.move(client.address)  # the first one has not made a call yet
             for _ in range(net.MAX_MOVE_TRIES + 1):
                 (await peer.next(FIRST_TARGET)).fail()
             (await peer.next(FIRST_TARGET)).answer(3, snapshot=True)
@@ -400,8 +406,8 @@
     run(test())
 
 
-def test_a_call_that_failed_is_left_to_the_module() -> None:
-    """Calls that are made again at once, by all that wait, keep a crowded discovery from answering any."""
+def test_the_balancer_decides_on_the_retry_of_a_failed_call() -> None:
+    """If all clients retried at once, an overloaded discovery could not answer any of them."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -417,8 +423,9 @@
     run(test())
 
 
-def test_the_first_call_after_a_failed_one_is_answered_soon_where_nothing_changes() -> None:
-    """Until an answer comes the list is not confirmed; a watch may be silent for as long as it is held."""
+def test_the_first_call_after_a_failure_is_answered_soon_even_if_nothing_changes() -> None:
+    """The list is unconfirmed until an answer comes, and a watch without changes is answered only after its
+    hold."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -438,7 +445,7 @@
     run(test())
 
 
-def test_nothing_is_heard_of_a_server_that_was_left() -> None:
+def test_answers_of_the_old_address_are_ignored_after_a_move() -> None:
     async def test() -> None:
         old, new = ScriptedDiscovery(), ScriptedDiscovery()
         async with new.client() as other, old.client() as client:
@@ -455,7 +462,7 @@
 
 
 class FailingClient(net.DiscoveryClient):
-    """One of many that lost the same discovery: each call fails at once, and no pause takes time."""
+    """One of many clients of an unreachable discovery: each call fails at once, and delays take no time."""
 
     def __init__(self, seed: int, pushed: bool) -> None:
         super().__init__(("127.0.0.1", 9), 1, lambda received: None, self._failed, Random(seed), pushed)
@@ -473,10 +480,10 @@
 
 
 @pytest.mark.parametrize("scenario", ["pushed", "moved", "renewing"])
-def test_those_that_lost_one_discovery_do_not_ask_in_step(
+def test_clients_of_an_unreachable_discovery_do_not_call_in_step(
     scenario: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At its return all their calls would come at once, and wait in turn behind each other."""
+    """When discovery returned, all their calls would arrive at once and queue behind each other."""
 
     async def test() -> None:
         sleep = asyncio.sleep
@@ -493,7 +500,7 @@
                 client.move(client.address)
             else:
                 client.watch(True)
-            if scenario == "renewing":  # the watch before is still open
+            if scenario == "renewing":  # an earlier call of the watch is still open
                 client._watch_calls[asyncio.ensure_future(client.failed.wait())] = Channel()
             client_by_task[client._watch_task] = client
         async with asyncio.timeout(PATIENCE):
@@ -501,12 +508,12 @@
                 await client.failed.wait()
         for client in clients:
             client.stop()
-        assert clients[0].pauses == pytest.approx(clients[-1].pauses, abs=0.05)  # one seed, one course
+        assert clients[0].pauses == pytest.approx(clients[-1].pauses, abs=0.05)  # the same seed
         longest = 0.15 if scenario == "pushed" else backoff.LONGEST_PAUSE
         assert all(0 < pause <= longest for client in clients for pause in client.pauses)
         call_times = sorted(sum(client.pauses[:8]) for client in clients[:40])
         spacing = sum(clients[0].pauses[:8]) / 8
         closest = [sum(abs(other - own) < spacing / 20 for other in call_times) for own in call_times]
-        assert max(closest) <= 10  # of 40, within a tenth of a pause
+        assert max(closest) <= 10  # of 40 clients, within a tenth of the mean delay
 
     run(test())
--- a/tests/test_discovery_overload.py
+++ b/tests/test_discovery_overload.py
@@ -1,19 +1,17 @@
-"""A discovery that many proxies ask at once, in simulated time.
+"""A discovery that many proxies call at once, in simulated time.
 
-What users saw: after discovery had been away for some seconds, proxies had old lists for the rest of the
-day, and requests went to servers that had long left (see test_unconfirmed_list.py).
+These tests guard against a congestion collapse of discovery. After an outage of some seconds, proxies kept
+old lists for the rest of the day, and requests went to servers that had long left (see
+test_unconfirmed_list.py).
 
-The order of events: all proxies lost their watches at once. At the return all asked, each call waited in
-turn, and as all of them together took longer than a call may wait, most failed. They were made again at
-once, behind those whose callers had left, which took their turn all the same. So discovery worked without
-pause on calls that nobody waited for.
-
-The cause: the pause after a failed call did not grow, so that calls came faster than they could be
+All proxies lose their watches at once and call again when discovery returns. The calls wait in one queue. If
+all of them together take longer than a call may wait, most fail, and the queue still works off calls whose
+callers have left. When the retry delay after a failure did not grow, calls arrived faster than they could be
 answered for as long as there were proxies without a list.
 
-The evidence: on a day of 200 proxies (b3f30b7d) nearly every call failed after 2.0 s and was followed by
-the next after 0.1 s, from the loss of discovery until the end of the day; with a pause of 1 s, doubled up
-to 8 s (trial b981f26c), none failed from 5 s after its return.
+With 200 proxies and a retry delay of 0.1 s nearly every call failed after 2.0 s, from the outage until the
+end of the day (b3f30b7d). With a delay of 1 s, doubled up to 8 s, no call failed later than 5 s after the
+return (trial b981f26c).
 """
 
 from __future__ import annotations
@@ -25,21 +23,22 @@
 
 from granitepoint import ListKind, ServerList, Watch
 
-STEP = 0.05  # s
-MAX_QUEUE_TIME = 2.0  # s that a call waits in turn before it fails
-DOWN_AT, UP_AT = 5.0, 13.0  # s
+STEP = 0.05  # seconds
+MAX_QUEUE_TIME = 2.0  # seconds that a call waits before it fails
+DOWN_AT, UP_AT = 5.0, 13.0  # seconds
 PROXIES = 40
 
 
 class QueueingDiscovery:
-    """One service that takes calls in turn; a call that has waited too long fails, and costs its turn."""
+    """A service with one queue. A call that waits too long fails, but still takes its processing time."""
 
     def __init__(self, seconds_for_all: float) -> None:
-        self.call_time = seconds_for_all / PROXIES  # s for each call
+        self.call_time = seconds_for_all / PROXIES  # seconds of processing for each call
         self.free_at = 0.0
-        self.answers: list[tuple[float, int, bool]] = []  # when, to which proxy, whether it is an answer
+        self.answers: list[tuple[float, int, bool]] = []  # time, proxy, and whether the call succeeded
 
     def call(self, now: float, proxy: int) -> None:
+        """A call of a proxy arrives."""
         if DOWN_AT <= now < UP_AT:
             heappush(self.answers, (now + MAX_QUEUE_TIME, proxy, False))
             return
@@ -49,7 +48,7 @@
 
 
 def run_fleet(seconds_for_all: float, until: float, seed: int) -> list[float]:
-    """When each proxy has its first answer after the return, in s after it."""
+    """Returns the seconds from the return of discovery to the first answer, for each proxy."""
     discovery = QueueingDiscovery(seconds_for_all)
     fleet = [Driver(settings(ask_for_list=True), seed=seed * PROXIES + number) for number in range(PROXIES)]
     started_at = fleet[0].now
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""What the driver tells the module of a request."""
+"""The events that the driver gives the balancer for a request."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def test_the_margins_of_a_call_take_no_more_than_a_share_of_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """They add up along a chain of calls: 28 times 40 ms are more than the whole of a second."""
+    """The margins add up along a chain of calls: 28 times 40 ms would be more than a whole second."""
     monkeypatch.setattr("granitepoint.net.driver.time", SimpleNamespace(monotonic=lambda: 100.0))
 
     async def test() -> None:
@@ -64,8 +64,9 @@
     run(test())
 
 
-def test_the_module_knows_when_a_proxy_that_ends_must_have_answered() -> None:
-    """Told the client's budget alone, it sends what the end of the process cuts off as failed."""
+def test_the_balancer_is_given_the_deadline_of_a_proxy_that_shuts_down() -> None:
+    """With the client's budget alone it would send attempts that the end of the process cuts off as
+    failures."""
 
     async def test() -> None:
         nowhere = ("127.0.0.1", 9)
@@ -75,7 +76,7 @@
         first = driver.events[-1]
         assert isinstance(first, Arrival) and first.budget > 1.5
         assert first.stated == 1.9
-        delayed = request(time.monotonic() - 0.4)  # it lay unread while this process stood still
+        delayed = request(time.monotonic() - 0.4)  # it was unread while this process was stalled
         delayed.id = b"3"
         driver.opened(delayed, UnusedReply())
         delayed_arrival = driver.events[-1]
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,10 +1,13 @@
-"""A new address of discovery: it is asked for changes, and is found out where it is another service.
+"""A move to a new address of discovery: it is asked for changes only, and recognized if it is another
+service.
 
-What users saw: after SIGHUP requests went to servers that had left, for up to 20 s; where that was refused,
-proxies served nobody for seconds. All asked for whole lists at once, and the last had its list 16 s late.
+These tests guard against two failures. After SIGHUP, requests went to servers that had left, for up to 20 s.
+When that was refused, proxies served nobody for seconds: all of them requested full lists at once, and the
+last one got its list 16 s late.
 
-The cause: versions of the old address were taken to tell nothing of the new one, although it is one service.
-A whole list costs discovery two to three times what a small answer does, and the watch after it a turn more.
+The cause was that versions of the old address were taken to be meaningless at the new one, although both
+belong to one service. A full list costs discovery two to three times as much as a small answer, and the watch
+after it has to queue once more.
 """
 
 from __future__ import annotations
@@ -25,13 +28,13 @@
 
 
 def history(version: int = 40) -> VersionHistory:
-    """Versions 39 and 40 are known, the last of them by what it changed."""
+    """Version 40 is current, and the change from 39 to 40 is known."""
     versions = VersionHistory(version - 1)
     versions.told(version - 1, version, CHANGED_SERVERS)
     return versions
 
 
-def test_the_last_change_is_asked_for_once_more() -> None:
+def test_the_last_change_is_requested_again() -> None:
     assert history().ask_from == 39 and history().comparable
     unchanged = VersionHistory(40)
     assert unchanged.ask_from == 40 and not unchanged.comparable
@@ -42,20 +45,20 @@
     [
         (40, {1, 2}, True),
         (44, {1, 2, 7}, True),
-        (39, {1, 2}, False),  # a lower index
+        (39, {1, 2}, False),  # a lower version
         (0, set(), False),
-        (40, set(), False),  # an equal one, with other changes
+        (40, set(), False),  # the same version, with other changes
         (40, {8, 9}, False),
-        (90, {1, 9}, False),  # a higher one, with other names
+        (90, {1, 9}, False),  # a higher version, with other servers
     ],
 )
-def test_another_service_is_told_by_its_index_and_by_the_change_that_it_does_not_know(
+def test_another_service_is_recognized_by_its_version_and_by_the_missing_last_change(
     version: int, servers: set[int], goes_on: bool
 ) -> None:
     assert history().goes_on_with(version, servers) is goes_on
 
 
-def test_a_whole_list_or_a_large_change_leaves_nothing_to_compare() -> None:
+def test_a_full_list_or_a_large_change_leaves_nothing_to_compare() -> None:
     after_full_list = history()
     after_full_list.told(None, 41, {1, 2, 3})
     after_large_change = history()
@@ -65,17 +68,17 @@
         assert versions.goes_on_with(41, set()) and not versions.goes_on_with(40, set())
 
 
-def test_an_answer_without_news_leaves_the_last_change_in_place() -> None:
+def test_an_answer_without_changes_keeps_the_last_change() -> None:
     versions = history()
     versions.told(40, 40, set())
     assert versions.ask_from == 39
-    versions.told(39, 41, {1, 2, 5})  # the same once more, with what came since
+    versions.told(39, 41, {1, 2, 5})  # the last change again, together with newer ones
     assert versions.ask_from == 39 and not versions.goes_on_with(41, {1, 2})
 
 
 @asynccontextmanager
 async def moved_client(peer: ScriptedDiscovery) -> AsyncIterator[net.DiscoveryClient]:
-    """A client that was told of version 2, with a change of s-1, and was then sent to another address."""
+    """A client that got version 2, with a change of s-1, and was then moved to another address."""
     async with peer.client() as client:
         client.watch(True)
         (await peer.next("/v1/servers?from=1&")).answer(2, endpoint("s-1", ADDRESS, "Terminating"))
@@ -85,7 +88,7 @@
         yield client
 
 
-def test_the_change_that_comes_back_shows_that_the_new_address_goes_on_with_the_old() -> None:
+def test_a_repeated_change_shows_that_the_new_address_continues_the_history() -> None:
     async def test() -> None:
         peer = ScriptedDiscovery()
         async with moved_client(peer) as client:
@@ -99,8 +102,8 @@
 
 
 @pytest.mark.parametrize(("index", "name"), [(1, "s-1"), (2, "s-9"), (30, "s-9")])
-def test_the_whole_list_is_asked_for_where_the_new_address_is_another_service(index: int, name: str) -> None:
-    """Nothing of its first answer is used, and it is no proof of what the address has."""
+def test_the_full_list_is_requested_if_the_new_address_is_another_service(index: int, name: str) -> None:
+    """Nothing of the first answer is used, and it does not confirm a list."""
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -117,10 +120,10 @@
     run(test())
 
 
-def test_a_list_that_nothing_could_be_compared_with_is_asked_for_whole_later_and_until_it_comes(
+def test_a_list_that_could_not_be_compared_is_verified_later_until_a_full_list_comes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The watch goes on meanwhile, and what it was told since is not taken back."""
+    """The watch continues in the meantime, and newer changes that it brings are kept."""
     monkeypatch.setattr(net, "VERIFY_DELAY", 0.1)
     monkeypatch.setattr(net, "VERIFY_SPREAD", 0.02)
 
@@ -148,7 +151,7 @@
     run(test())
 
 
-def test_a_move_while_nothing_is_confirmed_asks_anew_and_a_second_one_before_the_first_list_too() -> None:
+def test_a_second_move_before_the_first_list_calls_the_newest_address() -> None:
     async def test() -> None:
         old, new = ScriptedDiscovery(), ScriptedDiscovery()
         async with new.client() as other, moved_client(old) as client:
