--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -62,8 +62,9 @@
 class DiscoveryClient:
     """Calls discovery when the balancer asks for it, and reports each list and each failed call.
 
-    On its own it only repeats the call of a watch that has been answered, or that got no answer in time.
-    Where lists are pushed the balancer never asks, and a watch that fails is opened again at once.
+    On its own it only keeps a watch going: it makes the next call when one has been answered, or got no
+    answer in time, retries the first call to a new address, and verifies the list after a move. Where lists
+    are pushed the balancer never asks, and a watch that fails is opened again at once.
     """
 
     def __init__(
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -24,8 +24,8 @@
 MAX_HEADER_BYTES = 32 * 1024  # headers of an answer, together with all 1xx answers before it
 MAX_RAW_ANSWER_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # on the wire, with the framing of chunks
 IDLE_TIMEOUT_SHARE = 0.9  # of the configured idle time, so that this side closes before the backend
-# Seconds by which a late timer indicates a stall of the process. Timers run before sockets are read, so data
-# may be waiting: the timer then reads the sockets once more before it takes effect.
+# Seconds of delay from which a timer assumes that the process was stalled. Timers run before sockets are read,
+# so what it waits for may have arrived: it lets the sockets be read once more before it takes effect.
 STALL_THRESHOLD = 0.01
 NEXT_LOOP_ITERATION = 0.001  # seconds; the event loop reads its sockets before a timer of this length
 # Seconds after an answer before its connection is used again, so that unexpected data after it is noticed.
@@ -445,12 +445,12 @@
         idle for more than `max_idle_age` seconds are closed.
         """
         now = time.monotonic()
-        min_idle_since, reusable_since = now - min(self.owner.idle_timeout, max_idle_age), now - REUSE_DELAY
+        min_idle_since, max_idle_since = now - min(self.owner.idle_timeout, max_idle_age), now - REUSE_DELAY
         while self.idle:
             index = len(self.idle) - 1
-            while index and self.idle[index].idle_since > reusable_since:
+            while index and self.idle[index].idle_since > max_idle_since:
                 index -= 1
-            if self.idle[index].idle_since > reusable_since:
+            if self.idle[index].idle_since > max_idle_since:
                 index = -1
             connection = self.idle.pop(index)
             if connection.transport is not None and not connection.transport.is_closing():
