--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -24,8 +24,8 @@
 MAX_HEADER_BYTES = 32 * 1024  # headers of an answer, together with all 1xx answers before it
 MAX_RAW_ANSWER_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # on the wire, with the framing of chunks
 IDLE_TIMEOUT_SHARE = 0.9  # of the configured idle time, so that this side closes before the backend
-# Seconds of delay from which a timer assumes that the process was stalled. Timers run before sockets are read,
-# so what it waits for may have arrived: it lets the sockets be read once more before it takes effect.
+# Seconds of delay from which a timer assumes that the process was stalled. As timers run before sockets are
+# read, it then lets the sockets be read once more: what it waits for may have arrived.
 STALL_THRESHOLD = 0.01
 NEXT_LOOP_ITERATION = 0.001  # seconds; the event loop reads its sockets before a timer of this length
 # Seconds after an answer before its connection is used again, so that unexpected data after it is noticed.
