--- a/granitepoint/modelcheck/rules.py
+++ b/granitepoint/modelcheck/rules.py
@@ -149,7 +149,10 @@
         gone = set(balancer.attempts_in_flight) - out
         told = {(event.call, event.attempt) for event in world.pending if isinstance(event, Outcome)}
         self.check(gone <= told, f"attempts held although ended: {sorted(gone - told)}")
-        self.check(0 <= balancer.counted_in_flight <= len(balancer.attempts_in_flight), f"{balancer.counted_in_flight} places taken of {len(out)}")
+        self.check(
+            0 <= balancer.counted_in_flight <= len(balancer.attempts_in_flight),
+            f"{balancer.counted_in_flight} places taken of {len(out)}",
+        )
 
 
 RULES: tuple[type[Rule], ...] = (Answer, Repeat, Drain, Permitted, Kept)
