--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -89,9 +89,9 @@
 def _retries(settings: Settings) -> Section:
     advice = settings.max_wait_advice if settings.may_advise_wait else 0.0
     return Section("retries", [
-        Entry("budget", logic.RETRY_SHARE, "attempts", "further ones that each new request allows"),
+        Entry("budget", logic.RETRY_RATIO, "attempts", "further ones that each new request allows"),
         Entry("burst", logic.RETRY_BURST, "attempts", "that may come at once"),
-        Entry("never ran", logic.RETRY_UNSEEN, "attempts", "that one counts as, where nothing has run"),
+        Entry("never ran", logic.NEVER_RAN_RETRY_COST, "attempts", "that one counts as, where nothing has run"),
         Entry("cancel", settings.may_cancel, "", "a stuck attempt may be given up for another"),
         Entry("advice", advice, SECONDS, "longest Retry-After of a refusal; 0: none is given"),
     ])  # fmt: skip
@@ -109,17 +109,17 @@
 
 def _servers(settings: Settings, balancer: logic.Balancer) -> Section:
     pool, known = balancer.servers.pool, balancer.servers.known
-    first = settings.cold_from * logic.COLD_SHARE * settings.fall_multiple
-    last = logic.COLD_SHARE * settings.fall_multiple
+    first = settings.cold_from * logic.COLD_BUDGET_SHARE * settings.fall_multiple
+    last = logic.COLD_BUDGET_SHARE * settings.fall_multiple
     mean = 1 / len(pool) if pool else 0.0
     return Section("servers", [
         Entry("known", len(known), "servers", "in the file's list"),
-        Entry("used", len(pool), "servers", f"at most {logic.POOL}, of the own zone {logic.POOL_LOCAL}"),
+        Entry("used", len(pool), "servers", f"at most {logic.MAX_POOL_SIZE}, of the own zone {logic.MAX_LOCAL_POOL_SIZE}"),
         Entry("cold for", settings.cold_for, SECONDS, f"from {settings.cold_from:g} of its capacity"),
         Entry("cold budget, first", _rounded(first), "parts", "of the server's part of the peak rate"),
         Entry("cold budget, last", _rounded(last), "parts", "the same when it is almost warm"),
         Entry("a server's part", _rounded(mean), "share", "of the calls, at the mean weight of those used"),
-        Entry("ejected for", logic.EJECT_FIRST, SECONDS, f"then doubled, up to {logic.EJECT_LONGEST:g} s"),
+        Entry("ejected for", logic.BASE_EJECTION_TIME, SECONDS, f"then doubled, up to {logic.MAX_EJECTION_TIME:g} s"),
     ])  # fmt: skip
 
 
@@ -129,10 +129,10 @@
     target = "/healthz" if settings.reports == "none" else "/load"
     return Section("probes", [
         Entry("allowed", True, "", f"GET {target}"),
-        Entry("at the start", logic.FIRST_PROBES, "probes", "at most, over all zones"),
+        Entry("at the start", logic.INITIAL_PROBES, "probes", "at most, over all zones"),
         Entry("per request", logic.PROBES_PER_CALL, "probes", "of the steady ones"),
-        Entry("least", logic.PROBES_LEAST, PER_SECOND, "also when idle"),
-        Entry("for one call", logic.ASK if balancer.asks else 0, "servers", "asked before it; 0: too dear"),
+        Entry("least", logic.MIN_PROBE_RATE, PER_SECOND, "also when idle"),
+        Entry("for one call", logic.PRE_SEND_PROBE_COUNT if balancer.asks else 0, "servers", "asked before it; 0: too dear"),
         Entry("timeout", driver.PROBE_TIMEOUT, SECONDS, "after which a probe has failed"),
         Entry("at once", driver.MOST_PROBES, "probes", "at most"),
     ])  # fmt: skip
@@ -143,15 +143,15 @@
     entries = [Entry("address", "{}:{}".format(*config.discovery), "", "may change on SIGHUP")]
     if settings.ask_for_list:
         instances = settings.balancers * settings.stages
-        first = min(logic.FIRST_ASK, logic.FIRST_ASK_EACH * instances, settings.must_ask_within / 4)
-        longest = min(backoff.LONGEST_PAUSE, logic.FAILED_ASK * settings.must_ask_within)
+        first = min(logic.MAX_FIRST_WATCH_DELAY, logic.FIRST_WATCH_DELAY_PER_INSTANCE * instances, settings.must_ask_within / 4)
+        longest = min(backoff.LONGEST_PAUSE, logic.WATCH_PAUSE_FACTOR * settings.must_ask_within)
         growing = f"at most, after a call that waited in vain; growing with each, up to {longest:g} s"
         entries += [
             Entry("first watch", first, SECONDS, "at the latest after the start, at a random time"),
             Entry("asked again", min(backoff.CROWDED.first, longest), SECONDS, growing),
             Entry("while it is away", backoff.AWAY.longest, SECONDS, "at most, after a refused call"),
             Entry("list used for", list_lease.TOLD_AFTER, SECONDS, "after the last proof"),
-            Entry("doubted", logic.DOUBT_SPACING, SECONDS, "without news, while a listed server refuses"),
+            Entry("doubted", logic.STALE_LIST_INTERVAL, SECONDS, "without news, while a listed server refuses"),
         ]
     else:
         entries.append(Entry("asked again", discovery.PUSH_PAUSE, SECONDS, "after a watch that ended"))
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -96,7 +96,7 @@
 
     def remember() -> object:
         for number in range(count):
-            driver.balancer.gate.remember(1_000_000 + number)
+            driver.balancer.gate.record_ended(1_000_000 + number)
         return driver
 
     return _held_by(remember)
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -53,80 +53,80 @@
 from granitepoint.membership.list_lease import ListLease
 
 # -- tunables: name, unit, reason ----------------------------------------------------------------------
-STEP = 0.05  # s, the control step: a few steps fit into the shortest call worth steering
-CALLS_REMEMBERED = 1000  # calls that are over whose ids are still known
-STALL = 4 * STEP  # s without a turn after which the times of what comes tell of this instance itself
-ANSWER_MARGIN = 2 * STEP  # s before a client's deadline at which a held call is answered at the latest
-LEAST_LATENCY = 1e-4  # s; no answer counts as quicker, so that means stay above 0
-POOL_LOCAL = 10  # servers of the own zone that an instance uses
-POOL = 16  # servers that an instance uses in all
-PRIOR = 8.0  # samples that the prior of a server's capacity weighs
-FORGET = 0.9  # weight of a server's older samples at each new one
-PACE_MEMORY = 30.0  # s in which they fade without new ones, so that a slow server is tried again
+CONTROL_STEP = 0.05  # s, the control step: a few steps fit into the shortest call worth steering
+MAX_ENDED_CALL_IDS = 1000  # calls that are over whose ids are still known
+STALL_THRESHOLD = 4 * CONTROL_STEP  # s without a turn after which the times of what comes tell of this instance itself
+ANSWER_MARGIN = 2 * CONTROL_STEP  # s before a client's deadline at which a held call is answered at the latest
+MIN_LATENCY = 1e-4  # s; no answer counts as quicker, so that means stay above 0
+MAX_LOCAL_POOL_SIZE = 10  # servers of the own zone that an instance uses
+MAX_POOL_SIZE = 16  # servers that an instance uses in all
+CAPACITY_PRIOR_SAMPLES = 8.0  # samples that the prior of a server's capacity weighs
+CAPACITY_SAMPLE_DECAY = 0.9  # weight of a server's older samples at each new one
+CAPACITY_DECAY_TIME = 30.0  # s in which they fade without new ones, so that a slow server is tried again
 PROBES_PER_CALL = 0.05  # probes per arriving call: each request makes several
-PROBES_LEAST = 0.3  # probes per s, so that an idle instance still knows its servers
-LEASE_DEBT = 5.0  # steady probes that health checks for leases may take the place of at once
-FIRST_PROBES = 8.0  # probes at the start, over all zones: an instance that knows no load follows the herd
-ASK_SPEND = 0.006  # points of price per call that may go to probes sent for that call alone
-ASK = 3  # servers asked for one call; more gains little over three fresh figures
-ASK_WAIT = 0.01  # s that a call waits for their answers
-REPORT_LAG = 0.5  # s by which a report may lie behind: it is refreshed now and then
-USUAL_FADES = 10.0  # fades of a report after which a server's usual load is half forgotten
-ZONE_REPORTS = 10  # reports over which a zone's load is averaged: a few seconds of probes at a call a second
-CROSSING = 3.0  # aims that one full crossing price is worth when servers are compared
-TAIL = 2.0  # mean latencies that a held call should have left when its turn comes: work has long tails
-RETRY_SHARE = 0.15  # further attempts per arriving call: a retry budget stops multiplication through tiers
+MIN_PROBE_RATE = 0.3  # probes per s, so that an idle instance still knows its servers
+MAX_LEASE_PROBE_DEBT = 5.0  # steady probes that health checks for leases may take the place of at once
+INITIAL_PROBES = 8.0  # probes at the start, over all zones: an instance that knows no load follows the herd
+MAX_PRE_SEND_PROBE_PRICE = 0.006  # points of price per call that may go to probes sent for that call alone
+PRE_SEND_PROBE_COUNT = 3  # servers asked for one call; more gains little over three fresh figures
+PRE_SEND_PROBE_WAIT = 0.01  # s that a call waits for their answers
+MAX_REPORT_DELAY = 0.5  # s by which a report may lie behind: it is refreshed now and then
+SMOOTHED_LOAD_DECAY_RATIO = 10.0  # fades of a report after which a server's usual load is half forgotten
+ZONE_LOAD_SAMPLES = 10  # reports over which a zone's load is averaged: a few seconds of probes at a call a second
+CROSS_ZONE_COST_FACTOR = 3.0  # aims that one full crossing price is worth when servers are compared
+QUEUE_TAIL_ALLOWANCE = 2.0  # mean latencies that a held call should have left when its turn comes: work has long tails
+RETRY_RATIO = 0.15  # further attempts per arriving call: a retry budget stops multiplication through tiers
 RETRY_BURST = 5.0  # further attempts that may come at once
-RETRY_UNSEEN = 0.25  # of a further attempt, that one after an attempt that never ran counts as
-RESCUE_AGE = 4.0  # mean latencies after which a call is taken to be stuck
-RESCUE_SHARE = 0.15  # mean calls' work, per arriving call, that all tiers together may spend on such calls
-RESCUE_BURST = 5.0  # mean calls' work that may be spent on them at once
-RESCUE_MOST = 20.0  # mean calls' work that one counts as at most: the mean may be a guess, or of light calls
-RESCUE_LEFT = 3.0  # mean latencies that must be left to such a call, and until then its first may be answered
-EJECT_FIRST = 0.5  # s of the first ejection; doubles up to EJECT_LONGEST
-EJECT_LONGEST = 8.0  # s
-EJECT_SHARE = 0.34  # share of the pool that soft signs may eject: if more look ill, the cause lies elsewhere
-ALIVE = 1.0  # s since its last answer, of any kind, within which a server is not taken to be dead
-BREAKS = 3  # broken or refused connections in a row, with no answer between, after which it is all the same
-UNOPENED = 2  # failed connects, and none good between, after which a live server has no room for more
-CONNECTIONS_FULL = 5.0  # s for which a server without room gets no further connection
+NEVER_RAN_RETRY_COST = 0.25  # of a further attempt, that one after an attempt that never ran counts as
+HEDGE_AGE = 4.0  # mean latencies after which a call is taken to be stuck
+HEDGE_WORK_RATIO = 0.15  # mean calls' work, per arriving call, that all tiers together may spend on such calls
+HEDGE_WORK_BURST = 5.0  # mean calls' work that may be spent on them at once
+MAX_HEDGE_WORK = 20.0  # mean calls' work that one counts as at most: the mean may be a guess, or of light calls
+HEDGE_TIME_LEFT = 3.0  # mean latencies that must be left to such a call, and until then its first may be answered
+BASE_EJECTION_TIME = 0.5  # s of the first ejection; doubles up to EJECT_LONGEST
+MAX_EJECTION_TIME = 8.0  # s
+MAX_EJECTION_SHARE = 0.34  # share of the pool that soft signs may eject: if more look ill, the cause lies elsewhere
+ALIVE_TIMEOUT = 1.0  # s since its last answer, of any kind, within which a server is not taken to be dead
+DEAD_AFTER_CONNECTION_FAILURES = 3  # broken or refused connections in a row, with no answer between, after which it is all the same
+FULL_AFTER_CONNECT_FAILURES = 2  # failed connects, and none good between, after which a live server has no room for more
+CONNECTION_LIMIT_TIME = 5.0  # s for which a server without room gets no further connection
 ERROR_EXCESS = 0.35  # error share above the pool's that condemns a server
-FAILING_STEP = 0.3  # weight of the newest answer in the share of a class's calls that a server fails
-FAILING_MEMORY = 5.0  # s in which such a share fades, so that the server is tried again
-COLD_SHARE = 0.5  # share of the allowed multiple of a cold server's capacity that all instances may use
-PEAK_MEMORY = 60.0  # s, memory of an instance's highest send rate for a unit of size: long against a ramp
-DOUBT_SPREAD = 2.0  # s over which instances ask again where servers contradict the list: all see it at once
-DOUBT_SPACING = 8.0  # s since it asked or was told within which an instance does not doubt the list
-IDLE_LEAST = 0.2  # s; a connection used within it is not taken to be lost for lack of use
-IDLE_SHARE = 0.7  # share of the age at which an idle connection was lost that is still trusted
-IDLE_DOUBLES = 15.0  # s in which the trusted age doubles again
-OPEN_DEAR = 1.5  # mean latencies that a new connection adds, above which a doubtful old one is used
-OPEN_LEAST = 0.3  # mean latencies by which a server with an open connection is preferred at least
-OPEN_MEMORY = 30  # sends over which new and open connections are compared
-HELD_FOR_LIST = 0.4  # share of a call's time for which it waits for a list that may be sent by
-FIRST_ASK = 2.0  # s over which the first calls of all instances are spread at most
-FIRST_ASK_EACH = 0.02  # s of that for each instance of each tier
-FAILED_ASK = 4.0  # times the settings' time for asking that a proxy whose call failed may wait
-ADVICE = 0.25  # procQ that a refused client is told to stay away
-TICK_TOKEN, ASK_TOKEN = 1, 2
-GOLDEN = 0.6180339887498949  # its multiples lie evenly between 0 and 1, however many there are
-MOST_LATENCIES = 8.0  # mean latencies that a failed attempt counts as at most
+FAILURE_SHARE_WEIGHT = 0.3  # weight of the newest answer in the share of a class's calls that a server fails
+FAILURE_SHARE_DECAY_TIME = 5.0  # s in which such a share fades, so that the server is tried again
+COLD_BUDGET_SHARE = 0.5  # share of the allowed multiple of a cold server's capacity that all instances may use
+PEAK_RATE_DECAY_TIME = 60.0  # s, memory of an instance's highest send rate for a unit of size: long against a ramp
+STALE_LIST_JITTER = 2.0  # s over which instances ask again where servers contradict the list: all see it at once
+STALE_LIST_INTERVAL = 8.0  # s since it asked or was told within which an instance does not doubt the list
+MIN_IDLE_AGE = 0.2  # s; a connection used within it is not taken to be lost for lack of use
+IDLE_AGE_SAFETY_FACTOR = 0.7  # share of the age at which an idle connection was lost that is still trusted
+IDLE_AGE_DOUBLING_TIME = 15.0  # s in which the trusted age doubles again
+HIGH_CONNECT_COST = 1.5  # mean latencies that a new connection adds, above which a doubtful old one is used
+MIN_CONNECT_COST = 0.3  # mean latencies by which a server with an open connection is preferred at least
+CONNECT_COST_SAMPLES = 30  # sends over which new and open connections are compared
+LIST_WAIT_SHARE = 0.4  # share of a call's time for which it waits for a list that may be sent by
+MAX_FIRST_WATCH_DELAY = 2.0  # s over which the first calls of all instances are spread at most
+FIRST_WATCH_DELAY_PER_INSTANCE = 0.02  # s of that for each instance of each tier
+WATCH_PAUSE_FACTOR = 4.0  # times the settings' time for asking that a proxy whose call failed may wait
+RETRY_ADVICE_FACTOR = 0.25  # procQ that a refused client is told to stay away
+TICK_TOKEN, PRE_SEND_PROBE_TOKEN = 1, 2
+GOLDEN_RATIO_CONJUGATE = 0.6180339887498949  # its multiples lie evenly between 0 and 1, however many there are
+MAX_LATENCY_RATIO = 8.0  # mean latencies that a failed attempt counts as at most
 
 
 # -- obligations -----------------------------------------------------------------------------------------
 class Attempt:
     __slots__ = (
-        "blamed",
+        "charged_to_server",
         "call",
         "cell",
-        "counted",
-        "idle",
-        "late",
+        "counts_toward_limit",
+        "idle_time",
+        "over_target",
         "load",
-        "lost",
+        "stalled_connection",
         "number",
-        "opened",
-        "rescued",
+        "new_connection",
+        "hedged",
         "sent_at",
         "server",
         "status",
@@ -137,62 +137,62 @@
         self.call, self.number, self.server, self.sent_at, self.load = call, number, server, sent_at, load
         self.zone, self.cell = server.zone, server.cell  # a list may tell others of its server later
         self.status = -1  # still out
-        self.counted = True  # takes a place in W
-        self.late = False  # has been counted as late
-        self.idle = 0.0  # s that the connection had not been used; 0: in use or new
-        self.opened = False  # the connection was new
-        self.blamed = False  # has been counted as a sign against its server
-        self.rescued = False
-        self.lost = False  # overtaken for so long that its connection is at fault, not its server
+        self.counts_toward_limit = True  # takes a place in W
+        self.over_target = False  # has been counted as late
+        self.idle_time = 0.0  # s that the connection had not been used; 0: in use or new
+        self.new_connection = False  # the connection was new
+        self.charged_to_server = False  # has been counted as a sign against its server
+        self.hedged = False
+        self.stalled_connection = False  # overtaken for so long that its connection is at fault, not its server
 
 
 class Call:
     __slots__ = (
-        "arrived",
-        "asked",
-        "asked_until",
+        "arrived_at",
+        "probed_candidates",
+        "probe_wait_until",
         "attempts",
         "cls",
         "deadline",
         "ended",
         "id",
-        "order",
-        "out",
+        "sort_key",
+        "in_flight",
         "queued",
         "streaming",
         "useful_until",
-        "worth",
+        "utility",
     )
 
     def __init__(
-        self, id: int, cls: Kind, worth: float, arrived: float, deadline: float, useful: float
+        self, id: int, cls: Kind, utility: float, arrived_at: float, deadline: float, useful_until: float
     ) -> None:
-        self.id, self.cls, self.worth, self.arrived = id, cls, worth, arrived
-        self.deadline, self.useful_until = deadline, useful
-        self.order = (-worth, arrived, id)
+        self.id, self.cls, self.utility, self.arrived_at = id, cls, utility, arrived_at
+        self.deadline, self.useful_until = deadline, useful_until
+        self.sort_key = (-utility, arrived_at, id)
         self.attempts: list[Attempt] = []
-        self.out = 0
+        self.in_flight = 0
         self.ended = self.streaming = self.queued = False
-        self.asked: list[Server] | None = None  # servers probed for this call alone
-        self.asked_until = 0.0
+        self.probed_candidates: list[Server] | None = None  # servers probed for this call alone
+        self.probe_wait_until = 0.0
 
     def __lt__(self, other: Call) -> bool:
-        return self.order < other.order
+        return self.sort_key < other.sort_key
 
 
-class Obligations:
+class SafetyRules:
     """The one gate for every send and every final answer. Whatever the heuristics want, the rules hold."""
 
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         self.settings = settings
         self.list_lease = ListLease(settings.told_after)
-        self.health = HealthLeases(confirmed=not settings.ask_for_list, checkable=settings.may_probe)
+        self.health_leases = HealthLeases(confirmed=not settings.ask_for_list, checkable=settings.may_probe)
         self.actions = actions
         self.calls: dict[int, Call] = {}
-        self.over: dict[int, None] = {}  # ids of the last calls that are over: no news
+        self.ended_ids: dict[int, None] = {}  # ids of the last calls that are over: no news
 
     @staticmethod
-    def may_have_run(call: Call) -> Attempt | None:
+    def first_possible_execution(call: Call) -> Attempt | None:
         """The earliest attempt that ran, may have run or may still run."""
         for attempt in call.attempts:
             if attempt.status not in NEVER_RAN:
@@ -200,26 +200,26 @@
         return None
 
     def may_send(self, call: Call, server: Server, now: float) -> bool:
-        leased = self.list_lease.valid(now) and self.health.valid(server, now)
-        return leased and self.may_send_if_leased(call, server, now)
+        leased = self.list_lease.valid(now) and self.health_leases.valid(server, now)
+        return leased and self.may_send_ignoring_leases(call, server, now)
 
-    def may_send_if_leased(self, call: Call, server: Server, now: float) -> bool:
+    def may_send_ignoring_leases(self, call: Call, server: Server, now: float) -> bool:
         """All but the leases, which a list or a health check may renew at any moment."""
         if call.streaming or now >= call.deadline or server.state is not ServerState.SERVING:
             return False
         if not call.attempts:
             return not call.ended
-        if not self.may_repeat(call) or (call.out and not self.settings.may_duplicate):
+        if not self.may_attempt_again(call) or (call.in_flight and not self.settings.may_duplicate):
             return False
-        first = self.may_have_run(call)
+        first = self.first_possible_execution(call)
         if first is None or call.cls.effect is Effect.REPEATABLE:
             return True
-        return self.same_group(call.cls, first, server) and self.within(call, now) > 0
+        return self.same_group(call.cls, first, server) and self.dedup_time_left(call, now) > 0
 
-    def within(self, call: Call, now: float) -> float:
+    def dedup_time_left(self, call: Call, now: float) -> float:
         """Time left in which a further attempt is dropped by the group of one that may have run. It counts
         from when that was decided, a little before it was sent."""
-        first = self.may_have_run(call)
+        first = self.first_possible_execution(call)
         if first is None or call.cls.effect is not Effect.BY_KEY:
             return math.inf
         return first.sent_at + call.cls.window - now
@@ -237,25 +237,25 @@
         effect = call.cls.effect
         if effect is Effect.REPEATABLE or (effect is Effect.BY_KEY and call.cls.group == "all"):
             return True
-        return self.may_have_run(call) is None
+        return self.first_possible_execution(call) is None
 
-    def may_repeat(self, call: Call) -> bool:
+    def may_attempt_again(self, call: Call) -> bool:
         """Whether some further attempt could still be allowed."""
         if call.ended or call.streaming or len(call.attempts) >= self.settings.max_attempts:
             return False
-        return call.cls.effect is not Effect.ONCE or self.may_have_run(call) is None
+        return call.cls.effect is not Effect.ONCE or self.first_possible_execution(call) is None
 
     def send(
-        self, call: Call, server: Server, now: float, timeout: float, load: float, trust: float = math.inf
+        self, call: Call, server: Server, now: float, timeout: float, load: float, max_idle_age: float = math.inf
     ) -> Attempt | None:
         if not self.may_send(call, server, now):
             return None
-        within = self.within(call, now)
+        within = self.dedup_time_left(call, now)
         attempt = Attempt(call, len(call.attempts), server, now, load)
         call.attempts.append(attempt)
-        call.out += 1
-        allowed = max(STEP / 10, min(timeout, call.deadline - now))
-        self.actions.append(Send(call.id, server.id, allowed, trust, within))
+        call.in_flight += 1
+        allowed = max(CONTROL_STEP / 10, min(timeout, call.deadline - now))
+        self.actions.append(Send(call.id, server.id, allowed, max_idle_age, within))
         return attempt
 
     def answer(self, call: Call, retry_after: float = 0.0) -> None:
@@ -268,72 +268,72 @@
             self.actions.append(Fail(call.id))
         self.end(call)
 
-    def turn_away(self, id: int) -> None:
+    def refuse_invalid(self, id: int) -> None:
         """The one answer to what cannot be a call: its class is unknown or its time is over."""
         self.actions.append(Refuse(id))
-        self.remember(id)
+        self.record_ended(id)
 
-    def remember(self, id: int) -> None:
-        self.over[id] = None
-        if len(self.over) > CALLS_REMEMBERED:
-            del self.over[next(iter(self.over))]
+    def record_ended(self, id: int) -> None:
+        self.ended_ids[id] = None
+        if len(self.ended_ids) > MAX_ENDED_CALL_IDS:
+            del self.ended_ids[next(iter(self.ended_ids))]
 
     def end(self, call: Call) -> None:
         call.ended = True
-        self.forget(call)
+        self.remove_if_done(call)
 
-    def settle(self, attempt: Attempt, status: int, final: bool) -> None:
+    def finish_attempt(self, attempt: Attempt, status: int, final: bool) -> None:
         call = attempt.call
         if attempt.status < 0:
-            call.out -= 1
+            call.in_flight -= 1
         attempt.status = status
         if final:
             call.ended = True
-        self.forget(call)
+        self.remove_if_done(call)
 
-    def forget(self, call: Call) -> None:
-        if call.ended and not call.out:
+    def remove_if_done(self, call: Call) -> None:
+        if call.ended and not call.in_flight:
             self.calls.pop(call.id, None)
-            self.remember(call.id)
+            self.record_ended(call.id)
 
 
 # -- servers ---------------------------------------------------------------------------------------------
 class Server:
     def __init__(self, entry: ServerEntry, tokens: float) -> None:
         self.id = entry.server
-        self.tokens = tokens  # of the cold budget
-        self.told(entry)
-        self.out = 0  # own attempts out
+        self.slow_start_tokens = tokens  # of the cold budget
+        self.update(entry)
+        self.in_flight = 0  # own attempts out
         self.ejected_until = 0.0  # 0: in use
         self.ejections = 0
-        self.trial = False  # back on trial: one call at a time
+        self.on_probation = False  # back on trial: one call at a time
         self.last_ok = 0.0
         self.probe_out = False
         self.probed_at = -math.inf
-        self.fresh()
+        self.reset_statistics()
 
-    def told(self, entry: ServerEntry) -> None:
+    def update(self, entry: ServerEntry) -> None:
         self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
-        self.hint, self.started_at = max(entry.weight, 1e-3), entry.started_at
-        self.ramp_from = entry.started_at
+        self.weight, self.started_at = max(entry.weight, 1e-3), entry.started_at
+        self.slow_start_from = entry.started_at
 
-    def fresh(self) -> None:
+    def reset_statistics(self) -> None:
         """Forget what was learned: the process is another one."""
-        self.heard_at = -math.inf  # its last answer to a call or a probe, whatever it said
-        self.breaks = 0  # connections broken or refused since
-        self.served_from = -math.inf  # when the latest of the calls that it has served was sent
+        self.last_answer_at = -math.inf  # its last answer to a call or a probe, whatever it said
+        self.connection_failures = 0  # connections broken or refused since
+        self.newest_served_sent_at = -math.inf  # when the latest of the calls that it has served was sent
         self.load_sum = self.latency_sum = 0.0
-        self.errors = 0.0  # running share of errors
-        self.failing: dict[str, tuple[float, float]] = {}  # by class: share not served, as of when
-        self.usual = self.last_report = 0.0
+        self.error_share = 0.0  # running share of errors
+        self.failure_shares: dict[str, tuple[float, float]] = {}  # by class: share not served, as of when
+        self.smoothed_load = self.reported_load = 0.0
         self.reported_at = -math.inf
-        self.since = 0  # own sends less own answers since the report
+        self.net_sends_since_report = 0  # own sends less own answers since the report
         self.slow_streak = 0
         self.used_at = -math.inf  # the last send or answer
         self.checked_at = -math.inf  # when the last health check that it passed was sent
-        self.most_out, self.most_out_until = 0, 0.0  # while it has no room for more connections
-        self.unopened = 0  # connects that failed since one that served
-        self.fail_streak = 0
+        self.max_in_flight, self.max_in_flight_until = 0, 0.0  # while it has no room for more connections
+        self.connect_failures = 0  # connects that failed since one that served
+        self.failed_probe_streak = 0
 
 
 class Servers:
@@ -346,15 +346,15 @@
         self.pool: list[Server] = []
         self.mean_load = Mean(1.0)
         self.zone_load: dict[str, Mean] = {}  # reported calls for each unit of size
-        self.errors = Mean(0.0)
+        self.error_share = Mean(0.0)
         self.send_rate = self.peak_rate = 0.0  # sends a second; the highest for each unit of size
-        self.hints = 0.0  # units of size of the pool, as remembered
-        self.unit = 0.1  # s, the mean latency of a call
-        self.aim = max(cls.aim for cls in settings.classes)
-        self.idle_safe = settings.conn_idle  # s without use after which a connection is still trusted
-        self.on_open, self.on_new = Mean(1.0), Mean(1.0)  # mean latencies of a call on such
+        self.pool_weight = 0.0  # units of size of the pool, as remembered
+        self.mean_latency = 0.1  # s, the mean latency of a call
+        self.latency_objective = max(cls.aim for cls in settings.classes)
+        self.max_idle_age = settings.conn_idle  # s without use after which a connection is still trusted
+        self.open_connection_latency, self.new_connection_latency = Mean(1.0), Mean(1.0)  # mean latencies of a call on such
 
-    def take_list(self, event: ServerList, now: float) -> None:
+    def apply_list(self, event: ServerList, now: float) -> None:
         if event.kind is ListKind.FAILED:
             return
         named = set()
@@ -366,23 +366,23 @@
                     self.known[entry.server] = Server(entry, self.random.random())
                 continue
             restarted = entry.started_at > server.started_at
-            ramp_from = server.ramp_from
-            server.told(entry)
+            ramp_from = server.slow_start_from
+            server.update(entry)
             if restarted:
-                server.fresh()
-                server.tokens = self.random.random()
-                server.ejected_until, server.trial = 0.0, False
+                server.reset_statistics()
+                server.slow_start_tokens = self.random.random()
+                server.ejected_until, server.on_probation = 0.0, False
             else:
-                server.ramp_from = max(ramp_from, entry.started_at)
+                server.slow_start_from = max(ramp_from, entry.started_at)
         if event.kind is not ListKind.INCREMENTAL:
             for server in self.known.values():
                 if server.id not in named:
                     server.state = ServerState.GONE
-        for server in [s for s in self.known.values() if s.state is ServerState.GONE and not s.out]:
+        for server in [s for s in self.known.values() if s.state is ServerState.GONE and not s.in_flight]:
             del self.known[server.id]
-        self.fill_pool(now)
+        self.rebuild_pool(now)
 
-    def fill_pool(self, now: float) -> None:
+    def rebuild_pool(self, now: float) -> None:
         """A bounded pool, so that probes and connections don't grow as instances x servers.
 
         Each zone's servers form a ring; instances start at places spread evenly by their number.
@@ -392,7 +392,7 @@
             server = self.known[id]
             if server.state is ServerState.SERVING:
                 zones.setdefault(server.zone, []).append(server)
-        place = self.settings.me * GOLDEN % 1.0
+        place = self.settings.me * GOLDEN_RATIO_CONJUGATE % 1.0
         pool: list[Server] = []
         others: list[list[Server]] = []
         for zone in sorted(zones):
@@ -401,163 +401,163 @@
             ring = ring[start:] + ring[:start]
             ring = [s for s in ring if not s.ejected_until] + [s for s in ring if s.ejected_until]
             if zone == self.settings.zone:
-                pool = ring[:POOL_LOCAL]
+                pool = ring[:MAX_LOCAL_POOL_SIZE]
             else:
                 others.append(ring)
         place_of = 0
-        while len(pool) < POOL and any(len(ring) > place_of for ring in others):
+        while len(pool) < MAX_POOL_SIZE and any(len(ring) > place_of for ring in others):
             for ring in others:
-                if len(ring) > place_of and len(pool) < POOL:
+                if len(ring) > place_of and len(pool) < MAX_POOL_SIZE:
                     pool.append(ring[place_of])
             place_of += 1
         self.pool = pool
 
-    def fade(self, span: float) -> None:
+    def decay_capacity(self, span: float) -> None:
         """What is believed of a server that gets no calls must not keep it without calls. Guards against a
         few slow answers, whatever their cause, that stay a server's last word. Harm: a slow server gets a
         call now and then."""
-        share = math.exp(-span / PACE_MEMORY)
+        share = math.exp(-span / CAPACITY_DECAY_TIME)
         for server in self.pool:
             server.load_sum *= share
             server.latency_sum *= share
 
-    def ramp(self, server: Server, now: float) -> float:
+    def slow_start_share(self, server: Server, now: float) -> float:
         """Share of its capacity that a server surely has: it warms no slower than evenly."""
-        age = now - server.ramp_from
-        if server.ramp_from <= 0 or age >= self.settings.cold_for:
+        age = now - server.slow_start_from
+        if server.slow_start_from <= 0 or age >= self.settings.cold_for:
             return 1.0
         from_share = self.settings.cold_from
         return from_share + (1 - from_share) * max(0.0, age) / self.settings.cold_for
 
-    def fill_tokens(self, now: float, span: float) -> None:
+    def refill_slow_start_tokens(self, now: float, span: float) -> None:
         """A cold server looks idle to every instance at once: each may send no more than its fair share of
         what the server can do by now, so that all together stay under the budget of any window."""
-        total = sum(server.hint for server in self.pool)
-        share = COLD_SHARE * self.settings.fall_multiple
+        total = sum(server.weight for server in self.pool)
+        share = COLD_BUDGET_SHARE * self.settings.fall_multiple
         # As the send rate remembers: what went to many is no measure of what the few that are left can do.
-        self.hints += (total - self.hints) * (min(1.0, span / MEMORY) if self.hints else 1.0)
+        self.pool_weight += (total - self.pool_weight) * (min(1.0, span / MEMORY) if self.pool_weight else 1.0)
         # The peak, not the present rate: else few sends allow fewer still, and a fleet in a roll stays cold.
-        present = self.send_rate / self.hints if self.hints else 0.0
-        self.peak_rate = max(present, self.peak_rate * (1 - span / PEAK_MEMORY))
+        present = self.send_rate / self.pool_weight if self.pool_weight else 0.0
+        self.peak_rate = max(present, self.peak_rate * (1 - span / PEAK_RATE_DECAY_TIME))
         for server in self.pool:
-            ramp = self.ramp(server, now)
+            ramp = self.slow_start_share(server, now)
             if ramp < 1:
-                rate = self.peak_rate * server.hint * ramp * share
-                server.tokens = min(1.0 + rate * STEP, server.tokens + rate * span)
+                rate = self.peak_rate * server.weight * ramp * share
+                server.slow_start_tokens = min(1.0 + rate * CONTROL_STEP, server.slow_start_tokens + rate * span)
 
     @property
-    def hint_mean(self) -> float:
-        return sum(server.hint for server in self.pool) / len(self.pool)
+    def mean_weight(self) -> float:
+        return sum(server.weight for server in self.pool) / len(self.pool)
 
     def usable(self, server: Server, now: float) -> bool:
         if server.state is not ServerState.SERVING or server.ejected_until:
             return False
-        if server.trial and server.out:
+        if server.on_probation and server.in_flight:
             return False
-        if server.out >= server.most_out and now < server.most_out_until:
+        if server.in_flight >= server.max_in_flight and now < server.max_in_flight_until:
             return False
-        return server.tokens >= 1 or self.ramp(server, now) >= 1
+        return server.slow_start_tokens >= 1 or self.slow_start_share(server, now) >= 1
 
     def load(self, server: Server, now: float) -> float:
         """Calls that a server is taken to hold. What is not known of a server, or known no more, is taken
         from its zone. Guards against a crowd on servers that look idle because nobody asked them, where calls
         and so reports are few. Harm: one busy server makes its unasked neighbours look busy too."""
-        fade = 2 * self.unit + STEP
+        fade = 2 * self.mean_latency + CONTROL_STEP
         zone = self.zone_load.get(server.zone)
-        usual = server.usual
+        usual = server.smoothed_load
         if zone is not None:
             age = server.reported_at - now
-            usual = zone.value * server.hint
-            usual += (server.usual - usual) * math.exp(age / (USUAL_FADES * fade))
-        load = usual + server.since
-        if server.last_report != usual:
-            load += (server.last_report - usual) * math.exp((server.reported_at - now) / fade)
-        return max(load, server.out)
-
-    def learn_failing(self, server: Server, cls: Kind, failed: bool, now: float) -> None:
-        share = self.failing(server, cls, now)
-        server.failing[cls.name] = share + (failed - share) * FAILING_STEP, now
-
-    def failing(self, server: Server, cls: Kind, now: float) -> float:
-        share, at = server.failing.get(cls.name, (0.0, now))
-        return share * math.exp((at - now) / FAILING_MEMORY)
-
-    def usual_failing(self, cls: Kind, now: float) -> float:
+            usual = zone.value * server.weight
+            usual += (server.smoothed_load - usual) * math.exp(age / (SMOOTHED_LOAD_DECAY_RATIO * fade))
+        load = usual + server.net_sends_since_report
+        if server.reported_load != usual:
+            load += (server.reported_load - usual) * math.exp((server.reported_at - now) / fade)
+        return max(load, server.in_flight)
+
+    def record_failure_share(self, server: Server, cls: Kind, failed: bool, now: float) -> None:
+        share = self.failure_share(server, cls, now)
+        server.failure_shares[cls.name] = share + (failed - share) * FAILURE_SHARE_WEIGHT, now
+
+    def failure_share(self, server: Server, cls: Kind, now: float) -> float:
+        share, at = server.failure_shares.get(cls.name, (0.0, now))
+        return share * math.exp((at - now) / FAILURE_SHARE_DECAY_TIME)
+
+    def pool_failure_share(self, cls: Kind, now: float) -> float:
         """What the pool fails of a class. A server that fails more may serve other classes well, and so looks
         idle and quick. Guards against servers that turn away or fail one kind of request (a bad version, a
         limit or a store of its own that is down), at once or slowly. Harm: under overload chance makes some
         servers look worse; what all fail counts against none."""
-        return sum(self.failing(server, cls, now) for server in self.pool) / max(1, len(self.pool))
+        return sum(self.failure_share(server, cls, now) for server in self.pool) / max(1, len(self.pool))
 
-    def pick(self, call: Call, gate: Obligations, now: float) -> tuple[Server, float] | None:
+    def pick(self, call: Call, gate: SafetyRules, now: float) -> tuple[Server, float] | None:
         best: Server | None = None
         best_cost = best_load = math.inf
         tried = {attempt.server.id for attempt in call.attempts}
-        mean_hint = self.hint_mean if self.pool else 1.0
-        crossing = CROSSING * self.settings.price_crossing * self.aim / self.unit
-        opening = self.opening
+        mean_hint = self.mean_weight if self.pool else 1.0
+        crossing = CROSS_ZONE_COST_FACTOR * self.settings.price_crossing * self.latency_objective / self.mean_latency
+        opening = self.connect_cost
         zone = self.settings.zone
-        prior = PRIOR * self.mean_load.value / mean_hint
-        usual = self.usual_failing(call.cls, now)
+        prior = CAPACITY_PRIOR_SAMPLES * self.mean_load.value / mean_hint
+        usual = self.pool_failure_share(call.cls, now)
         for server in self.pool:
             if not self.usable(server, now):
                 continue
             load = self.load(server, now)
-            cost = (load + 1) * (PRIOR + server.latency_sum) / (prior * server.hint + server.load_sum)
-            if server.ramp_from > 0:
-                cost /= self.ramp(server, now)
+            cost = (load + 1) * (CAPACITY_PRIOR_SAMPLES + server.latency_sum) / (prior * server.weight + server.load_sum)
+            if server.slow_start_from > 0:
+                cost /= self.slow_start_share(server, now)
             if server.zone != zone:
                 cost += crossing
-            if not server.out and now - server.used_at > self.idle_safe:
+            if not server.in_flight and now - server.used_at > self.max_idle_age:
                 cost += opening
             if server.id in tried:
-                cost += MOST_LATENCIES
-            cost += MOST_LATENCIES * max(0.0, self.failing(server, call.cls, now) - usual)
+                cost += MAX_LATENCY_RATIO
+            cost += MAX_LATENCY_RATIO * max(0.0, self.failure_share(server, call.cls, now) - usual)
             cost *= 1 + 0.01 * self.random.random()
             if cost < best_cost and gate.may_send(call, server, now):
                 best, best_cost, best_load = server, cost, load
         return (best, best_load) if best is not None else None
 
-    def hopeless(self, call: Call, gate: Obligations, now: float) -> bool:
+    def no_server_left(self, call: Call, gate: SafetyRules, now: float) -> bool:
         """Whether no server can take a further attempt of a call that may have run any more: none is left of
         its group, its window is over, or those that are left come back too late. One that never ran may go to
         any server that is still to come, and waits like a new one."""
-        return gate.may_have_run(call) is not None and not any(
-            server.ejected_until < call.useful_until and gate.may_send_if_leased(call, server, now)
+        return gate.first_possible_execution(call) is not None and not any(
+            server.ejected_until < call.useful_until and gate.may_send_ignoring_leases(call, server, now)
             for server in self.pool
         )
 
     # connections
-    def idle(self, server: Server, now: float) -> float:
+    def idle_time(self, server: Server, now: float) -> float:
         """How long the connection to a server has not been used; 0: in use, or there is none."""
         age = now - server.used_at
-        return 0.0 if server.out or age >= self.settings.conn_idle else age
+        return 0.0 if server.in_flight or age >= self.settings.conn_idle else age
 
-    def warm(self, server: Server, now: float) -> bool:
-        return server.out > 0 or now - server.used_at <= self.idle_safe
+    def has_open_connection(self, server: Server, now: float) -> bool:
+        return server.in_flight > 0 or now - server.used_at <= self.max_idle_age
 
     @property
-    def opening(self) -> float:
+    def connect_cost(self) -> float:
         """Mean latencies that a new connection adds, as seen. Guards against slow handshakes, whatever their
         cause: calls keep to open connections. Harm: they crowd fewer servers, so the cost is only added to
         the load. Few samples err by a few tenths."""
-        return max(OPEN_LEAST, self.on_new.value - self.on_open.value)
+        return max(MIN_CONNECT_COST, self.new_connection_latency.value - self.open_connection_latency.value)
 
-    def lost_idle(self, attempt: Attempt, reset: bool) -> bool:
+    def detect_idle_drop(self, attempt: Attempt, reset: bool) -> bool:
         """Something between here and the server drops idle connections unseen: what is sent on one is reset
         at once or never answered. That is the connection's fault: the server stays, and connections as old
         are closed before they are used. Harm: if the server was at fault after all, it gets one more call,
         and some good connections are opened anew."""
-        if attempt.idle < IDLE_LEAST or (not reset and attempt.server.last_ok >= attempt.sent_at):
+        if attempt.idle_time < MIN_IDLE_AGE or (not reset and attempt.server.last_ok >= attempt.sent_at):
             return False  # too short a rest, or it was a slow call: the server has answered others since
-        self.doubt_rest(attempt.idle)
+        self.lower_max_idle_age(attempt.idle_time)
         return True
 
-    def doubt_rest(self, rested: float) -> None:
+    def lower_max_idle_age(self, rested: float) -> None:
         """Where idle connections are ended at some age, a call sent at about that age crosses the end. A
         close seen at rest tells it at no call's cost; one sooner than IDLE_LEAST is not for lack of use."""
-        if rested >= IDLE_LEAST:
-            self.idle_safe = max(IDLE_LEAST, min(self.idle_safe, IDLE_SHARE * rested))
+        if rested >= MIN_IDLE_AGE:
+            self.max_idle_age = max(MIN_IDLE_AGE, min(self.max_idle_age, IDLE_AGE_SAFETY_FACTOR * rested))
 
     def alive(self, server: Server, now: float) -> bool:
         """One broken connection says nothing of a server that has just answered on others. Guards against
@@ -565,41 +565,41 @@
         listener that restarts behind the address): taken for deaths they emptied the pool, while all that
         was sent was answered. A process that died breaks several at once and answers none: it is left at the
         third. Harm: one that dies with few calls out gets up to two more, which are refused at once."""
-        return now - server.heard_at < ALIVE and server.breaks < BREAKS
+        return now - server.last_answer_at < ALIVE_TIMEOUT and server.connection_failures < DEAD_AFTER_CONNECTION_FAILURES
 
     # health
-    def heard(self, server: Server, now: float) -> None:
-        server.heard_at, server.breaks = now, 0
+    def record_answer(self, server: Server, now: float) -> None:
+        server.last_answer_at, server.connection_failures = now, 0
 
     def eject(self, server: Server, now: float, hard: bool) -> bool:
         if server.ejected_until:
             return False
         # When everything is slow, no server is at fault.
-        if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > EJECT_SHARE * len(self.pool):
+        if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > MAX_EJECTION_SHARE * len(self.pool):
             return False
-        length = min(EJECT_LONGEST, EJECT_FIRST * 2**server.ejections)
+        length = min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**server.ejections)
         server.ejections += 1
         server.ejected_until = now + length * (0.75 + 0.5 * self.random.random())
-        server.trial = False
+        server.on_probation = False
         return True
 
     def readmit(self, server: Server, now: float) -> None:
         server.ejected_until = 0.0
-        server.trial = True
-        server.errors = 0.0
-        server.slow_streak = server.fail_streak = 0
-        server.since = server.out
+        server.on_probation = True
+        server.error_share = 0.0
+        server.slow_streak = server.failed_probe_streak = 0
+        server.net_sends_since_report = server.in_flight
 
-    def report(self, server: Server, report: dict[str, float] | None, now: float) -> None:
+    def record_report(self, server: Server, report: dict[str, float] | None, now: float) -> None:
         figure = report.get("busy_reqs") if report else None
         if figure is None or not 0 <= figure < math.inf:
             return
-        server.usual += (figure - server.usual) * (0.3 if server.reported_at > 0 else 1.0)
-        server.last_report = figure
+        server.smoothed_load += (figure - server.smoothed_load) * (0.3 if server.reported_at > 0 else 1.0)
+        server.reported_load = figure
         zone = self.zone_load.setdefault(server.zone, Mean(0.0))
-        zone.add(figure / server.hint, ZONE_REPORTS)
+        zone.add(figure / server.weight, ZONE_LOAD_SAMPLES)
         server.reported_at = now
-        server.since = 0
+        server.net_sends_since_report = 0
 
 
 # -- the balancer ----------------------------------------------------------------------------------------
@@ -610,8 +610,8 @@
         self.settings = settings
         self.random = Random(seed)
         self.actions: list[Action] = []
-        self.gate = Obligations(settings, self.actions)
-        self.list_lease, self.health = self.gate.list_lease, self.gate.health
+        self.gate = SafetyRules(settings, self.actions)
+        self.list_lease, self.health = self.gate.list_lease, self.gate.health_leases
         self.kinds = {cls.name: Kind(cls, settings.stage) for cls in settings.classes}
         self.admission = Admission(settings.stage, self.random)
         self.servers = Servers(settings, self.random)
@@ -622,9 +622,9 @@
         self.busy = 0  # attempts that take a place in W
         self.arrivals = self.sends = 0
         self.retry_tokens = RETRY_BURST
-        self.rescue_tokens = RESCUE_BURST
-        self.probe_tokens = FIRST_PROBES
-        self.asks = settings.may_probe and ASK * settings.price_probe <= ASK_SPEND
+        self.rescue_tokens = HEDGE_WORK_BURST
+        self.probe_tokens = INITIAL_PROBES
+        self.asks = settings.may_probe and PRE_SEND_PROBE_COUNT * settings.price_probe <= MAX_PRE_SEND_PROBE_PRICE
         self.now = 0.0
         self.last_step = -1.0
         self.stalled = False  # this batch comes after a pause of the instance's own
@@ -632,16 +632,16 @@
         self.watching = not settings.ask_for_list
         self.watch_at = -1.0
         self.asked_at = 0.0  # the begin of the last call of a watch, as far as known
-        longest_pause = min(LONGEST_PAUSE, FAILED_ASK * settings.must_ask_within)
+        longest_pause = min(LONGEST_PAUSE, WATCH_PAUSE_FACTOR * settings.must_ask_within)
         instances = settings.balancers * settings.stages
-        place = (settings.me + settings.stage / settings.stages) * GOLDEN % 1.0
+        place = (settings.me + settings.stage / settings.stages) * GOLDEN_RATIO_CONJUGATE % 1.0
         self.backoff = Backoff(self.random, longest_pause, instances, place)
         self.told_at = 0.0  # the last list, or the start of a watch
         self.doubt_at = math.inf  # when to ask although a watch is on
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
         self.now = now
-        self.stalled = 0 <= self.last_step < now - STALL
+        self.stalled = 0 <= self.last_step < now - STALL_THRESHOLD
         self.actions.clear()
         fresh: list[Call] = []
         for event in events:
@@ -664,14 +664,14 @@
                 self.asked_at = event.begun
                 self.list_lease.failed(event.failure, event.begun, event.ended, event.beside)
             elif type(event) is ClosedAtRest:
-                self.servers.doubt_rest(event.rested)
+                self.servers.lower_max_idle_age(event.rested)
             elif type(event) is Gone:
                 self.on_gone(event)
             elif type(event) is StreamStarted:
                 self.on_stream(event)
         if self.last_step < 0:
             self.start()
-        elif now - self.last_step >= STEP - 1e-9:
+        elif now - self.last_step >= CONTROL_STEP - 1e-9:
             self.step()
         for call in fresh:
             if not call.ended:  # the client may leave within the batch that it came in
@@ -683,14 +683,14 @@
         self.shrink()
         if not self.timer_set:
             self.timer_set = True
-            self.actions.append(SetTimer(STEP, TICK_TOKEN))
+            self.actions.append(SetTimer(CONTROL_STEP, TICK_TOKEN))
         return list(self.actions)
 
     def start(self) -> None:
         self.last_step = self.now
         # Discovery is small and all instances may start at once: the first call is spread out.
         instances = self.settings.balancers * self.settings.stages
-        spread = min(FIRST_ASK, FIRST_ASK_EACH * instances, self.settings.must_ask_within / 4)
+        spread = min(MAX_FIRST_WATCH_DELAY, FIRST_WATCH_DELAY_PER_INSTANCE * instances, self.settings.must_ask_within / 4)
         self.watch_at = self.now + self.random.random() * spread
 
     # events
@@ -715,15 +715,15 @@
                 self.list_lease.listed(written_after, self.now, event.ends_watch)
                 self.backoff.succeeded(event.turn)
                 self.told_at, self.doubt_at = self.now, math.inf
-            self.servers.take_list(event, self.now)
+            self.servers.apply_list(event, self.now)
             self.admission.set_least(len(self.servers.known), self.settings.balancers)
 
     def on_arrival(self, event: Arrival, fresh: list[Call]) -> None:
-        if event.call in self.gate.calls or event.call in self.gate.over:
+        if event.call in self.gate.calls or event.call in self.gate.ended_ids:
             return
         cls = self.kinds.get(event.cls)
         if cls is None or not 0 < event.budget < math.inf:
-            self.gate.turn_away(event.call)
+            self.gate.refuse_invalid(event.call)
             return
         self.arrivals += 1
         now = self.now
@@ -742,14 +742,14 @@
         call = Call(event.call, cls, worth, now, now + event.budget, now + useful)
         self.gate.calls[call.id] = call
         self.admission.history.append(worth)
-        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
-        self.rescue_tokens = min(RESCUE_BURST, self.rescue_tokens + RESCUE_SHARE / self.settings.stages)
+        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
+        self.rescue_tokens = min(HEDGE_WORK_BURST, self.rescue_tokens + HEDGE_WORK_RATIO / self.settings.stages)
         fresh.append(call)
 
     def admit(self, call: Call) -> None:
         # W grows only while it is what limits. A cut that keeps it from filling would keep itself in force.
         slack = self.busy + len(self.queue) + 1 <= SLACK * self.admission.window
-        if (slack or self.admission.admits(call.worth)) and call.useful_until > self.now:
+        if (slack or self.admission.admits(call.utility)) and call.useful_until > self.now:
             self.hold(call)
         else:
             self.refuse(call)
@@ -763,7 +763,7 @@
         client that forgets the mark gets work that comes too late."""
         first = self.settings.clients_mark_retries and not resent
         usual = cls.usual_budget(budget)  # also learned from first tries
-        if self.settings.stage or first or budget >= usual - STEP:
+        if self.settings.stage or first or budget >= usual - CONTROL_STEP:
             return cls.aim
         return cls.aim - (cls.deadline - budget)
 
@@ -776,7 +776,7 @@
         client that is told nothing comes back sooner, into the same crowd."""
         if not self.settings.may_advise_wait:
             return 0.0
-        return min(self.settings.max_wait_advice, max(STEP, ADVICE * self.admission.proc))
+        return min(self.settings.max_wait_advice, max(CONTROL_STEP, RETRY_ADVICE_FACTOR * self.admission.proc))
 
     def refuse(self, call: Call) -> None:
         self.gate.answer(call, self.advice())
@@ -792,7 +792,7 @@
         self.cancel_others(call)
 
     def cancel_others(self, call: Call) -> None:
-        if call.out and self.settings.may_cancel and not call.streaming:
+        if call.in_flight and self.settings.may_cancel and not call.streaming:
             for attempt in call.attempts:
                 if attempt.status < 0:
                     self.actions.append(Cancel(call.id, attempt.number))
@@ -801,8 +801,8 @@
         attempt = self.out.get((event.call, event.attempt))
         if attempt is not None:
             attempt.call.streaming = True
-            if attempt.counted:
-                attempt.counted = False
+            if attempt.counts_toward_limit:
+                attempt.counts_toward_limit = False
                 self.busy -= 1
 
     def on_outcome(self, event: Outcome) -> None:
@@ -812,18 +812,18 @@
         call, server, cls, now = attempt.call, attempt.server, attempt.call.cls, self.now
         status = event.status
         busy = self.busy
-        server.out -= 1
+        server.in_flight -= 1
         if status != Status.MOOT:
-            server.since -= 1
+            server.net_sends_since_report -= 1
         if status == Status.OK:
             server.used_at = now
-        if attempt.counted:
+        if attempt.counts_toward_limit:
             self.busy -= 1
         if event.rested is not None:
-            attempt.idle, attempt.opened = event.rested, event.rested <= 0
+            attempt.idle_time, attempt.new_connection = event.rested, event.rested <= 0
         was_ended = call.ended
-        self.gate.settle(attempt, status, event.final)
-        self.servers.report(server, event.report, now)
+        self.gate.finish_attempt(attempt, status, event.final)
+        self.servers.record_report(server, event.report, now)
         self.learn(attempt, status, event.elapsed, busy)
         if call.ended:
             if not was_ended:
@@ -832,12 +832,12 @@
                     call.queued = False
                 self.cancel_others(call)
             return
-        if call.out or call.queued:
+        if call.in_flight or call.queued:
             return
         left = call.useful_until - now
         # What never ran has multiplied no work; in an inner tier giving it up wastes the work above.
-        price = RETRY_UNSEEN if status in NEVER_RAN else 1.0
-        if self.gate.may_repeat(call) and left > cls.mean.value and self.retry_tokens >= price:
+        price = NEVER_RAN_RETRY_COST if status in NEVER_RAN else 1.0
+        if self.gate.may_attempt_again(call) and left > cls.mean.value and self.retry_tokens >= price:
             self.retry_tokens -= price
             self.hold(call)
         else:
@@ -855,19 +855,19 @@
             # meanwhile is learned a turn later.
             if status == Status.OK:
                 server.last_ok = now
-                servers.heard(server, now)
+                servers.record_answer(server, now)
             return
-        if attempt.lost and status == Status.TIMEOUT:
+        if attempt.stalled_connection and status == Status.TIMEOUT:
             return
-        elapsed = max(elapsed, LEAST_LATENCY)
+        elapsed = max(elapsed, MIN_LATENCY)
         ok = status == Status.OK
-        own = servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
+        own = servers.failure_share(server, cls, now) > servers.pool_failure_share(cls, now) + ERROR_EXCESS
         if ok or status in (Status.ERROR, Status.FULL):
-            servers.heard(server, now)
-            servers.learn_failing(server, cls, not ok, now)
+            servers.record_answer(server, now)
+            servers.record_failure_share(server, cls, not ok, now)
         broken = status in (Status.CONNECT_FAILED, Status.RESET)
-        server.breaks += broken
-        lost = status == Status.RESET and servers.lost_idle(attempt, reset=True)
+        server.connection_failures += broken
+        lost = status == Status.RESET and servers.detect_idle_drop(attempt, reset=True)
         excused = broken and (lost or servers.alive(server, now))
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
@@ -878,37 +878,37 @@
             admission.good(busy)
         elif status == Status.FULL and own:
             pass  # this server's own fault too
-        elif broken and attempt.late and not attempt.lost:
+        elif broken and attempt.over_target and not attempt.stalled_connection:
             admission.window += admission.step()  # a broken connection, not a crowd, kept it so long
         elif status == Status.TIMEOUT and elapsed < cls.target:
             pass  # it had less time than an answer may take
-        elif not attempt.late and attempt.counted and (ok or status in (Status.TIMEOUT, Status.FULL)):
+        elif not attempt.over_target and attempt.counts_toward_limit and (ok or status in (Status.TIMEOUT, Status.FULL)):
             admission.bad()
         # capacity: calls held against latency in units of the class's mean
         latency = elapsed / cls.mean.value
         if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
-            spent = min(MOST_LATENCIES, latency + (not ok))
-            (servers.on_new if attempt.opened else servers.on_open).add(spent, OPEN_MEMORY)
+            spent = min(MAX_LATENCY_RATIO, latency + (not ok))
+            (servers.new_connection_latency if attempt.new_connection else servers.open_connection_latency).add(spent, CONNECT_COST_SAMPLES)
         if not ok:
             # A fast-failing server looks idle: a failure counts as a slow answer.
-            latency = MOST_LATENCIES
+            latency = MAX_LATENCY_RATIO
         # What was only the connection's fault tells nothing of its server's pace.
         if status not in (Status.FULL, Status.CONNECT_FAILED) and not excused:
-            latency = min(latency, MOST_LATENCIES)
-            server.latency_sum = server.latency_sum * FORGET + latency
-            server.load_sum = server.load_sum * FORGET + attempt.load + 1
+            latency = min(latency, MAX_LATENCY_RATIO)
+            server.latency_sum = server.latency_sum * CAPACITY_SAMPLE_DECAY + latency
+            server.load_sum = server.load_sum * CAPACITY_SAMPLE_DECAY + attempt.load + 1
             servers.mean_load.add(attempt.load + 1, 100)
         failed = status in (Status.ERROR, Status.RESET)
-        server.errors += (failed - server.errors) * 0.2
-        servers.errors.add(float(failed), 100)
+        server.error_share += (failed - server.error_share) * 0.2
+        servers.error_share.add(float(failed), 100)
         if ok:
             server.last_ok = now
-            server.served_from = max(server.served_from, attempt.sent_at)
-            if attempt.opened:
-                server.unopened = 0
-            server.slow_streak = server.fail_streak = 0
-            if server.trial:
-                server.trial = False
+            server.newest_served_sent_at = max(server.newest_served_sent_at, attempt.sent_at)
+            if attempt.new_connection:
+                server.connect_failures = 0
+            server.slow_streak = server.failed_probe_streak = 0
+            if server.on_probation:
+                server.on_probation = False
             elif server.ejections and not server.ejected_until:
                 server.ejections = 0
         elif broken:
@@ -917,26 +917,26 @@
             elif status == Status.CONNECT_FAILED:
                 # It answers others of ours, so it has no room for a further connection: ejecting it would
                 # push its calls, and connections, onto the rest. Use what is open. One failure may be chance.
-                server.unopened += 1
-                if server.unopened >= UNOPENED:
-                    server.most_out, server.most_out_until = max(1, server.out), now + CONNECTIONS_FULL
+                server.connect_failures += 1
+                if server.connect_failures >= FULL_AFTER_CONNECT_FAILURES:
+                    server.max_in_flight, server.max_in_flight_until = max(1, server.in_flight), now + CONNECTION_LIMIT_TIME
             failed = False  # nothing was answered: no sign of one that fails what it gets
         elif status == Status.TIMEOUT:
-            servers.lost_idle(attempt, reset=False)
+            servers.detect_idle_drop(attempt, reset=False)
             server.slow_streak += 1
-            if server.trial or (server.slow_streak >= 3 and server.last_ok < attempt.sent_at):
+            if server.on_probation or (server.slow_streak >= 3 and server.last_ok < attempt.sent_at):
                 self.eject(server, hard=False)
-        if failed and (server.trial or server.errors > servers.errors.value + ERROR_EXCESS):
+        if failed and (server.on_probation or server.error_share > servers.error_share.value + ERROR_EXCESS):
             self.eject(server, hard=False)
 
     def eject(self, server: Server, hard: bool) -> None:
         if not self.servers.eject(server, self.now, hard):
             return
         for attempt in self.out.values():
-            if attempt.server is server and attempt.counted:
-                attempt.counted = False
+            if attempt.server is server and attempt.counts_toward_limit:
+                attempt.counts_toward_limit = False
                 self.busy -= 1
-        self.servers.fill_pool(self.now)
+        self.servers.rebuild_pool(self.now)
 
     def on_probed(self, event: Probed) -> None:
         server = self.servers.known.get(event.server)
@@ -945,22 +945,22 @@
         server.probe_out = False
         if event.status == Status.OK:
             server.checked_at = server.probed_at
-            self.servers.heard(server, self.now)
-            server.fail_streak = 0
-            self.servers.report(server, event.report, self.now)
+            self.servers.record_answer(server, self.now)
+            server.failed_probe_streak = 0
+            self.servers.record_report(server, event.report, self.now)
             if server.ejected_until and self.now >= server.ejected_until:
                 self.servers.readmit(server, self.now)
-                self.servers.fill_pool(self.now)
+                self.servers.rebuild_pool(self.now)
         elif event.status != Status.FULL:
             if event.status == Status.ERROR:
                 server.checked_at = -math.inf  # it answered, and drains or is ill
-            server.fail_streak += 1
+            server.failed_probe_streak += 1
             if server.ejected_until:
                 if event.status in (Status.CONNECT_FAILED, Status.ERROR):
                     self.doubt()
-                server.ejected_until = self.now + min(EJECT_LONGEST, EJECT_FIRST * 2**server.ejections)
+                server.ejected_until = self.now + min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**server.ejections)
                 server.ejections = min(server.ejections + 1, 6)
-            elif server.fail_streak >= 2 and server.last_ok < self.now - self.servers.unit:
+            elif server.failed_probe_streak >= 2 and server.last_ok < self.now - self.servers.mean_latency:
                 self.eject(server, hard=True)
 
     # the control step
@@ -979,10 +979,10 @@
         self.watch()
         self.watch_ages()
         if admission.latency.count:
-            servers.unit = max(admission.latency.value, 1e-3)
-        servers.fill_tokens(now, span)
-        servers.fade(span)
-        servers.idle_safe = min(self.settings.conn_idle, servers.idle_safe * (1 + span / IDLE_DOUBLES))
+            servers.mean_latency = max(admission.latency.value, 1e-3)
+        servers.refill_slow_start_tokens(now, span)
+        servers.decay_capacity(span)
+        servers.max_idle_age = min(self.settings.conn_idle, servers.max_idle_age * (1 + span / IDLE_AGE_DOUBLING_TIME))
         self.probe(span)
         admission.set_cut()
 
@@ -999,8 +999,8 @@
         watches that hang or are lost unseen, and lists that are late. Harm: where servers crash, each
         instance that sees it asks once more in DOUBT_SPACING, spread out."""
         if self.settings.ask_for_list and self.watching and math.isinf(self.doubt_at):
-            soonest = max(self.now, self.told_at + DOUBT_SPACING)
-            self.doubt_at = soonest + self.random.random() * DOUBT_SPREAD
+            soonest = max(self.now, self.told_at + STALE_LIST_INTERVAL)
+            self.doubt_at = soonest + self.random.random() * STALE_LIST_JITTER
 
     def watch_ages(self) -> None:
         """A hung server finishes nothing: the calls that are out tell by their age."""
@@ -1010,24 +1010,24 @@
         for attempt in self.out.values():
             age = now - attempt.sent_at
             cls = attempt.call.cls
-            if age > RESCUE_AGE * cls.mean.value and self.overtaken(attempt):
+            if age > HEDGE_AGE * cls.mean.value and self.overtaken(attempt):
                 self.lose(attempt)
-            if attempt.counted:
+            if attempt.counts_toward_limit:
                 total += age
                 counted += 1
-                if not attempt.late and age > cls.target:
-                    attempt.late = True
+                if not attempt.over_target and age > cls.target:
+                    attempt.over_target = True
                     self.admission.bad()
-            if age > RESCUE_AGE * cls.mean.value and not attempt.rescued:
+            if age > HEDGE_AGE * cls.mean.value and not attempt.hedged:
                 stuck.append(attempt)
         self.admission.age = total / counted if counted else 0.0
         for attempt in stuck:
             server, cls = attempt.server, attempt.call.cls
             known = cls.mean.count > 0
-            if server.last_ok < attempt.sent_at and not server.ejected_until and not attempt.blamed:
-                attempt.blamed = True
+            if server.last_ok < attempt.sent_at and not server.ejected_until and not attempt.charged_to_server:
+                attempt.charged_to_server = True
                 server.slow_streak += 1
-                if server.slow_streak >= 2 or server.trial:
+                if server.slow_streak >= 2 or server.on_probation:
                     self.eject(server, hard=False)
             # Before its first answer an instance knows nothing of what lies below, and the further attempts
             # of all that have just started multiply along a chain. Harm: first calls on a hung server stay.
@@ -1038,25 +1038,25 @@
         """Whether its server has served what was sent after it, or reports fewer calls in hand than this
         instance alone has out there; it is asked where its last report says nothing of this attempt."""
         server = attempt.server
-        if attempt.lost or server.served_from > attempt.sent_at:
+        if attempt.stalled_connection or server.newest_served_sent_at > attempt.sent_at:
             return True
-        fresh = server.reported_at >= attempt.sent_at + REPORT_LAG
-        due = not fresh and not server.probe_out and self.now >= server.probed_at + REPORT_LAG
+        fresh = server.reported_at >= attempt.sent_at + MAX_REPORT_DELAY
+        due = not fresh and not server.probe_out and self.now >= server.probed_at + MAX_REPORT_DELAY
         if due and self.settings.may_probe and server.state is ServerState.SERVING:
             self.send_probe(server)
-        return fresh and server.last_report + 0.5 < server.out - server.since
+        return fresh and server.reported_load + 0.5 < server.in_flight - server.net_sends_since_report
 
     def lose(self, attempt: Attempt) -> None:
         """Its server has long overtaken it: the connection went silent, and nothing is at
         work on it. Guards against places of W held until the deadline, and procQ raised by waits that are no
         work: both refused calls before idle servers. Harm: a long call's place is given away early."""
-        if attempt.lost:
+        if attempt.stalled_connection:
             return
-        attempt.lost = True
-        if attempt.counted:
-            attempt.counted = False
+        attempt.stalled_connection = True
+        if attempt.counts_toward_limit:
+            attempt.counts_toward_limit = False
             self.busy -= 1
-        if attempt.late:
+        if attempt.over_target:
             self.admission.window += self.admission.step()  # it was no sign of a crowd
 
     def rescue(self, attempt: Attempt) -> None:
@@ -1065,17 +1065,17 @@
         by that work. Guards against heavy calls that crowd sound servers by being done twice. Harm: where
         many connections go silent, some calls wait on them until their time is over."""
         call = attempt.call
-        if call.ended or call.streaming or call.queued or call.out > 1:
+        if call.ended or call.streaming or call.queued or call.in_flight > 1:
             return
         mean = call.cls.mean.value
         left = call.useful_until - self.now
-        time_yet = left > max(RESCUE_LEFT * mean, mean + 2 * STEP) and not attempt.server.ejected_until
+        time_yet = left > max(HEDGE_TIME_LEFT * mean, mean + 2 * CONTROL_STEP) and not attempt.server.ejected_until
         if time_yet or left < mean or min(self.retry_tokens, self.rescue_tokens) < 1:
             return
-        if call.cls.effect is not Effect.REPEATABLE or not self.gate.may_repeat(call):
+        if call.cls.effect is not Effect.REPEATABLE or not self.gate.may_attempt_again(call):
             return
-        attempt.rescued = True
-        self.rescue_tokens -= min(RESCUE_MOST, (self.now - attempt.sent_at) / max(mean, LEAST_LATENCY))
+        attempt.hedged = True
+        self.rescue_tokens -= min(MAX_HEDGE_WORK, (self.now - attempt.sent_at) / max(mean, MIN_LATENCY))
         if self.settings.may_duplicate:
             self.retry_tokens -= 1
             self.hold(call)
@@ -1085,7 +1085,7 @@
     def renew_leases(self) -> None:
         """Paid for by the steady probes that come after, for these bring reports too."""
         for server in self.health.due(self.servers.pool, self.now, self.busy + len(self.queue)):
-            self.probe_tokens = max(-LEASE_DEBT, self.probe_tokens - 1)
+            self.probe_tokens = max(-MAX_LEASE_PROBE_DEBT, self.probe_tokens - 1)
             self.send_probe(server)
 
     def probe(self, span: float) -> None:
@@ -1093,7 +1093,7 @@
             return
         now = self.now
         self.renew_leases()
-        rate = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
+        rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.rate)
         self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + rate * span))
         for server in self.servers.known.values():
             due = server.ejected_until and now >= server.ejected_until and not server.probe_out
@@ -1111,25 +1111,25 @@
         """Where calls are so few that steady reports are older than a call's latency, and probes are cheap,
         a call's candidates are asked before it is sent. Guards against picks on stale reports when many
         instances share few calls."""
-        if call.asked is None:
-            call.asked = []
+        if call.probed_candidates is None:
+            call.probed_candidates = []
             servers = self.servers
-            pace = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
-            if call.attempts or call.deadline - self.now < 3 * ASK_WAIT:
+            pace = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.rate)
+            if call.attempts or call.deadline - self.now < 3 * PRE_SEND_PROBE_WAIT:
                 return False
-            if len(servers.pool) < pace * servers.unit or servers.unit < 2 * ASK_WAIT:
+            if len(servers.pool) < pace * servers.mean_latency or servers.mean_latency < 2 * PRE_SEND_PROBE_WAIT:
                 return False
             usable = [s for s in servers.pool if servers.usable(s, self.now)]
-            warm = [s for s in usable if servers.warm(s, self.now)]
-            call.asked = self.random.sample(warm, min(ASK - 1, len(warm)))
-            others = [s for s in usable if s not in call.asked]
-            call.asked += self.random.sample(others, min(ASK - len(call.asked), len(others)))
-            for server in call.asked:
+            warm = [s for s in usable if servers.has_open_connection(s, self.now)]
+            call.probed_candidates = self.random.sample(warm, min(PRE_SEND_PROBE_COUNT - 1, len(warm)))
+            others = [s for s in usable if s not in call.probed_candidates]
+            call.probed_candidates += self.random.sample(others, min(PRE_SEND_PROBE_COUNT - len(call.probed_candidates), len(others)))
+            for server in call.probed_candidates:
                 if not server.probe_out:
                     self.send_probe(server)
-            call.asked_until = self.now + ASK_WAIT
-            self.actions.append(SetTimer(ASK_WAIT, ASK_TOKEN))
-        return self.now < call.asked_until - 1e-9 and any(server.probe_out for server in call.asked)
+            call.probe_wait_until = self.now + PRE_SEND_PROBE_WAIT
+            self.actions.append(SetTimer(PRE_SEND_PROBE_WAIT, PRE_SEND_PROBE_TOKEN))
+        return self.now < call.probe_wait_until - 1e-9 and any(server.probe_out for server in call.probed_candidates)
 
     def send_probe(self, server: Server) -> None:
         server.probe_out = True
@@ -1143,7 +1143,7 @@
         queue, servers = self.queue, self.servers
         while place < len(queue) and self.busy + 1 <= self.admission.window:
             call = queue[place]
-            if self.busy and call.useful_until - now < call.cls.mean.value and not call.out:
+            if self.busy and call.useful_until - now < call.cls.mean.value and not call.in_flight:
                 # It would most likely end too late: work for nothing. With nothing else out it is sent all
                 # the same, so that a mean that rose too far can fall again.
                 del queue[place]
@@ -1159,33 +1159,33 @@
                     self.renew_leases()
                 if not call.attempts:
                     return
-                if servers.hopeless(call, self.gate, now):
+                if servers.no_server_left(call, self.gate, now):
                     del queue[place]
                     call.queued = False
-                    if not call.out:
+                    if not call.in_flight:
                         self.refuse(call)
                 else:
                     place += 1
                 continue
             server, load = choice
-            until = call.deadline if call.cls.late_counts else max(call.useful_until, now + STEP)
-            idle = servers.idle(server, now)
-            if idle > servers.idle_safe and servers.opening < OPEN_DEAR:
+            until = call.deadline if call.cls.late_counts else max(call.useful_until, now + CONTROL_STEP)
+            idle = servers.idle_time(server, now)
+            if idle > servers.max_idle_age and servers.connect_cost < HIGH_CONNECT_COST:
                 self.actions.append(CloseIdle(server.id))
                 idle, server.used_at = 0.0, -math.inf
             opened = server.used_at < now - self.settings.conn_idle
-            trust = servers.idle_safe if servers.opening < OPEN_DEAR else math.inf
+            trust = servers.max_idle_age if servers.connect_cost < HIGH_CONNECT_COST else math.inf
             attempt = self.gate.send(call, server, now, until - now, load, trust)
             del queue[place]
             call.queued = False
             if attempt is None:
                 continue
             self.out[(call.id, attempt.number)] = attempt
-            attempt.idle, attempt.opened, server.used_at = idle, opened, now
-            server.out += 1
-            server.since += 1
-            if servers.ramp(server, now) < 1:
-                server.tokens -= 1
+            attempt.idle_time, attempt.new_connection, server.used_at = idle, opened, now
+            server.in_flight += 1
+            server.net_sends_since_report += 1
+            if servers.slow_start_share(server, now) < 1:
+                server.slow_start_tokens -= 1
             self.busy += 1
             self.sends += 1
 
@@ -1195,12 +1195,12 @@
         soonest = self.now if self.watching else self.watch_at
         kept: list[Call] = []
         for call in self.queue:
-            until = call.arrived + HELD_FOR_LIST * (call.deadline - call.arrived)
+            until = call.arrived_at + LIST_WAIT_SHARE * (call.deadline - call.arrived_at)
             if self.now < until and soonest < until:
                 kept.append(call)
                 continue
             call.queued = False
-            if not call.out:
+            if not call.in_flight:
                 self.gate.answer(call, self.advice_without_list(soonest))
         self.queue[:] = kept
 
@@ -1219,14 +1219,14 @@
         kept: list[Call] = []
         for call in self.queue:
             left = call.useful_until - now
-            fits = not kept or (len(kept) + 1) * wait + TAIL * call.cls.mean.value <= left
+            fits = not kept or (len(kept) + 1) * wait + QUEUE_TAIL_ALLOWANCE * call.cls.mean.value <= left
             # A call that asks its candidates goes out or comes back here before its deadline; one with less
             # than a mean latency left would be work for nothing, most of all where servers are crowded.
-            asking = now < call.asked_until - 1e-9 and left > call.cls.mean.value
+            asking = now < call.probe_wait_until - 1e-9 and left > call.cls.mean.value
             if fits and left > 0 and (asking or call.deadline - now > ANSWER_MARGIN):
                 kept.append(call)
             else:
                 call.queued = False
-                if not call.out:
+                if not call.in_flight:
                     self.refuse(call)
         self.queue[:] = kept
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,7 +56,7 @@
         self.balancer = Balancer(setup, seed)
         self.now = 100.0
         self.timers: list[tuple[float, int]] = []
-        self.said: list[Action] = []
+        self.actions: list[Action] = []
         listed = entries(1, 2, 3, 4) if servers is None else servers
         self.feed(ServerList(ListKind.SAVED, listed))
 
@@ -65,7 +65,7 @@
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
-        self.said += actions
+        self.actions += actions
         return actions
 
     def wait(self, span: float) -> list[Action]:
@@ -82,7 +82,7 @@
     def arrive(self, call: int, cls: str = "safe", budget: float = 2.0, **fields: Any) -> list[Action]:
         return self.feed(Arrival(call, cls, budget, **fields))
 
-    def settle(
+    def finish(
         self, send: Send, status: Status, attempt: int = 0, elapsed: float = 0.05, final: bool | None = None
     ) -> list[Action]:
         ended = status is Status.OK if final is None else final
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -129,7 +129,7 @@
     assert said["class stock"]["answered by"] == 1.18 and "window" not in said["class canje"]
     assert said["tenants"] == {"tenant t": 2.0, "past a quota": 1.0}
     assert said["servers"]["used"] == 2 and said["servers"]["a server's part"] == 0.5
-    assert said["servers"]["cold budget, first"] == pytest.approx(0.16 * logic.COLD_SHARE * 3.0)
+    assert said["servers"]["cold budget, first"] == pytest.approx(0.16 * logic.COLD_BUDGET_SHARE * 3.0)
     assert said["probes"]["for one call"] == 0 and said["discovery"]["first watch"] == pytest.approx(4 * 0.02)
     assert said["connections and memory"]["to servers"] == 400
     assert "doubted" not in explained(tmp_path, discovery="push")["discovery"]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -37,10 +37,10 @@
 )
 from granitepoint.admission import Admission, Kind
 from granitepoint.logic import (
-    CONNECTIONS_FULL,
-    FAILING_MEMORY,
-    PACE_MEMORY,
-    RETRY_UNSEEN,
+    CONNECTION_LIMIT_TIME,
+    FAILURE_SHARE_DECAY_TIME,
+    CAPACITY_DECAY_TIME,
+    NEVER_RAN_RETRY_COST,
 )
 from granitepoint.membership.backoff import CROWDED, LONGEST_PAUSE
 from granitepoint.membership.evidence import Failure
@@ -207,11 +207,11 @@
 def test_refused_connections_eject_and_a_probe_readmits() -> None:
     driver = Driver(settings(may_probe=True), servers=entries(1, 2))
     send = only_send(driver.arrive(1))
-    driver.settle(send, Status.CONNECT_FAILED)
+    driver.finish(send, Status.CONNECT_FAILED)
     others = {only_send(driver.arrive(call)).server for call in (2, 3, 4)}
     assert send.server not in others
     driver.wait(1.0)
-    assert Probe(send.server) in driver.said
+    assert Probe(send.server) in driver.actions
     driver.feed(Probed(send.server, Status.OK, 0.001, None))
     assert not driver.balancer.servers.known[send.server].ejected_until
 
@@ -233,7 +233,7 @@
             if send.server == 1:
                 hung += 1
             else:
-                driver.settle(send, Status.OK)
+                driver.finish(send, Status.OK)
     assert hung <= 8  # of the 20 that an even share would be
 
 
@@ -245,7 +245,7 @@
         for send in sends(driver.arrive(call, "once")):
             failing += send.server == 1
             bad = send.server == 1
-            driver.settle(send, Status.ERROR if bad else Status.OK, elapsed=0.001 if bad else 0.05)
+            driver.finish(send, Status.ERROR if bad else Status.OK, elapsed=0.001 if bad else 0.05)
     assert failing <= 30  # an even share would be 66, and it looks idle
 
 
@@ -259,7 +259,7 @@
             send, number = todo.pop()
             tries += 1
             todo += [
-                (again, number + 1) for again in sends(driver.settle(send, Status.ERROR, number), send.call)
+                (again, number + 1) for again in sends(driver.finish(send, Status.ERROR, number), send.call)
             ]
     assert tries <= 200 * 1.15 + 5
 
@@ -267,7 +267,7 @@
 def test_over_share_calls_are_worth_less() -> None:
     driver = Driver(settings(tenants=[Tenant("t", 2.0)], over_share_worth=0.1, balancers=1), servers=[])
     driver.feed(*[Arrival(call, "safe", 2.0, "t") for call in range(4)])
-    assert [call.worth for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
+    assert [call.utility for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
 
 
 def test_late_tries_are_known_by_their_budget() -> None:
@@ -288,8 +288,8 @@
     # as if its clients' whole time were running out.
     driver = Driver(settings())
     for call in range(20):
-        driver.settle(only_send(driver.arrive(call, "once", budget=1.0, stated=1.0)), Status.OK)
-    driver.settle(only_send(driver.arrive(98, "once", budget=0.9, stated=1.0)), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once", budget=1.0, stated=1.0)), Status.OK)
+    driver.finish(only_send(driver.arrive(98, "once", budget=0.9, stated=1.0)), Status.OK)
     assert not sends(driver.arrive(99, "once", budget=0.9, stated=0.9))  # this client has waited
 
 
@@ -298,7 +298,7 @@
     for marked, resent, sent in ((True, False, True), (True, True, False), (False, False, False)):
         driver = Driver(settings(clients_mark_retries=marked))
         for call in range(20):
-            driver.settle(only_send(driver.arrive(call)), Status.OK)
+            driver.finish(only_send(driver.arrive(call)), Status.OK)
         assert bool(sends(driver.arrive(99, budget=0.9, resent=resent))) == sent
 
 
@@ -307,13 +307,13 @@
     driver = Driver(settings(), servers=entries(1, 2))
     servers = driver.balancer.servers
     servers.send_rate = 40.0
-    servers.fill_tokens(driver.now, 0.05)
+    servers.refill_slow_start_tokens(driver.now, 0.05)
     servers.send_rate = 1.0
     driver.feed(ServerList(ListKind.INCREMENTAL, entries(2, started_at=driver.now)))
     cold = servers.known[2]
-    cold.tokens = 0.0
-    servers.fill_tokens(driver.now, 0.05)
-    assert cold.tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
+    cold.slow_start_tokens = 0.0
+    servers.refill_slow_start_tokens(driver.now, 0.05)
+    assert cold.slow_start_tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
 
 
 def test_what_went_to_many_is_no_measure_of_a_cold_server_that_is_left_alone() -> None:
@@ -321,25 +321,25 @@
     driver = Driver(settings(), servers=entries(1, 2, 3, 4))
     servers = driver.balancer.servers
     servers.send_rate = 40.0
-    servers.fill_tokens(driver.now, 0.05)
-    servers.take_list(ServerList(ListKind.FULL, entries(1, started_at=driver.now)), driver.now)
+    servers.refill_slow_start_tokens(driver.now, 0.05)
+    servers.apply_list(ServerList(ListKind.FULL, entries(1, started_at=driver.now)), driver.now)
     (left,) = servers.pool
-    left.tokens = 0.0
-    servers.fill_tokens(driver.now, 0.05)
+    left.slow_start_tokens = 0.0
+    servers.refill_slow_start_tokens(driver.now, 0.05)
     # A quarter of the peak, what a cold server has by now (0.3), and 1.5 times that.
-    assert left.tokens == pytest.approx(10 * 0.3 * 1.5 * 0.05, rel=0.05)
+    assert left.slow_start_tokens == pytest.approx(10 * 0.3 * 1.5 * 0.05, rel=0.05)
 
 
 def test_asking_starts_within_two_seconds_and_backs_off() -> None:
     driver = Driver(settings(ask_for_list=True))
     driver.wait(2.1)
-    assert driver.said.count(Watch(True)) == 1
+    assert driver.actions.count(Watch(True)) == 1
     driver.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
-    before = driver.said.count(Watch(True))
+    before = driver.actions.count(Watch(True))
     driver.wait(CROWDED.first * CROWDED.least_share - 0.05)
-    assert driver.said.count(Watch(True)) == before
+    assert driver.actions.count(Watch(True)) == before
     driver.wait(CROWDED.first)
-    assert driver.said.count(Watch(True)) == before + 1
+    assert driver.actions.count(Watch(True)) == before + 1
     assert Watch(True) not in Driver(settings()).wait(12.0)
 
 
@@ -363,7 +363,7 @@
         driver.wait(ZONED.window + 0.1)
     else:
         driver.balancer.servers.known[send.server].ejected_until = driver.now + 9.0
-    said = driver.settle(send, Status.ERROR, final=False)
+    said = driver.finish(send, Status.ERROR, final=False)
     assert Fail(1) in said and not sends(said)
     assert not driver.balancer.queue and 1 not in driver.balancer.gate.calls
 
@@ -376,7 +376,7 @@
     send = only_send(driver.arrive(1, "late"))
     assert send.timeout == pytest.approx(2.0)
     driver.now += 2.0
-    assert Fail(1) in driver.settle(send, Status.TIMEOUT, elapsed=2.0)
+    assert Fail(1) in driver.finish(send, Status.TIMEOUT, elapsed=2.0)
 
 
 def test_target_of_inner_tiers_is_smaller() -> None:
@@ -391,10 +391,10 @@
     send = only_send(driver.arrive(1, budget=4.0))
     assert Cancel(1, 0) not in driver.wait(3.85)
     assert Cancel(1, 0) in driver.wait(0.14)  # there is just time for a further one
-    (again,) = sends(driver.settle(send, Status.CANCELLED, final=False))
-    driver.settle(again, Status.OK, attempt=1, elapsed=0.02)
+    (again,) = sends(driver.finish(send, Status.CANCELLED, final=False))
+    driver.finish(again, Status.OK, attempt=1, elapsed=0.02)
     for call in range(2, 4000):  # what the first one cost is paid off
-        driver.settle(only_send(driver.arrive(call, budget=4.0)), Status.OK, elapsed=0.02)
+        driver.finish(only_send(driver.arrive(call, budget=4.0)), Status.OK, elapsed=0.02)
     driver.arrive(5000, budget=4.0)
     assert Cancel(5000, 0) not in driver.wait(3.8)
     assert Cancel(5000, 0) in driver.wait(0.15)
@@ -404,7 +404,7 @@
     """An instance that has seen its calls take 50 ms; one that may cancel."""
     driver = Driver(settings(may_cancel=True, **changes))
     for call in range(1000, 1000 + calls):
-        driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
+        driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
     return driver
 
 
@@ -414,7 +414,7 @@
     send = only_send(driver.arrive(1))
     assert Cancel(1, 0) not in driver.wait(0.8)  # 16 times the mean; of 1.0 s
     assert Cancel(1, 0) in driver.wait(0.14)
-    (again,) = sends(driver.settle(send, Status.CANCELLED, final=False))
+    (again,) = sends(driver.finish(send, Status.CANCELLED, final=False))
     assert again.call == 1 and again.server != send.server
 
 
@@ -428,7 +428,7 @@
     driver.arrive(1)
     driver.wait(0.99)
     for call in range(2000, 2120):  # 0.15 of each
-        driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
+        driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
     driver.arrive(2)
     assert Cancel(2, 0) in driver.wait(0.99)
 
@@ -439,7 +439,7 @@
         driver.arrive(1)
         driver.wait(0.99)
         for call in range(2000, 2120):
-            driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
+            driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
         driver.arrive(2)
         assert (Cancel(2, 0) in driver.wait(0.99)) is cancelled
 
@@ -451,7 +451,7 @@
     (hung,) = {send.server for send in sent if [each.server for each in sent].count(send.server) > 1}
     for send in sent:
         if send.server != hung:
-            driver.settle(send, Status.OK, elapsed=0.05)
+            driver.finish(send, Status.OK, elapsed=0.05)
     said = driver.wait(0.3)
     assert any(Cancel(send.call, 0) in said for send in sent if send.server == hung)
 
@@ -485,7 +485,7 @@
                 tell(tier, at + 2 * hop, Outcome(send.call, 0, send.server, Status.OK, 2 * hop, True))
         assert not any(isinstance(action, Cancel | Refuse | Fail) for action in said)
         if isinstance(event, Outcome) and tier:
-            sent = next(s for s in sends(tiers[tier - 1].said) if s.call == event.call)
+            sent = next(s for s in sends(tiers[tier - 1].actions) if s.call == event.call)
             elapsed = event.elapsed + 2 * hop
             tell(tier - 1, at + hop, Outcome(event.call, 0, sent.server, Status.OK, elapsed, True))
     assert begun == [5] * depth
@@ -499,14 +499,14 @@
     before = part.window
     for call in range(15):
         driver.wait(1.0)
-        driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.7)
+        driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.7)
     assert part.window >= before and part.drop() == 0.0
 
 
 def test_answer_within_the_same_instant_is_no_fault() -> None:
     # Found by the property test: a mean latency of 0 divided.
     driver = Driver(settings())
-    driver.settle(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
+    driver.finish(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
     assert driver.balancer.kinds["safe"].mean.value > 0
 
 
@@ -561,13 +561,13 @@
     server = driver.balancer.servers.known[1]
     first = only_send(driver.arrive(1, "once"))
     second, third = only_send(driver.arrive(2, "once")), only_send(driver.arrive(3, "once"))
-    driver.settle(first, Status.OK)
-    driver.settle(second, Status.CONNECT_FAILED, final=True)
-    assert not server.most_out  # one may be chance
-    driver.settle(third, Status.CONNECT_FAILED, final=True)
+    driver.finish(first, Status.OK)
+    driver.finish(second, Status.CONNECT_FAILED, final=True)
+    assert not server.max_in_flight  # one may be chance
+    driver.finish(third, Status.CONNECT_FAILED, final=True)
     assert not server.ejected_until
     again = sends(driver.arrive(4, "once")) + sends(driver.arrive(5, "once"))
-    assert len(again) == 1 and server.out == 1  # one connection is open: one call at a time
+    assert len(again) == 1 and server.in_flight == 1  # one connection is open: one call at a time
 
 
 def test_hopeless_call_is_not_sent_while_others_are_out() -> None:
@@ -602,7 +602,7 @@
     probes, calls = 0, 400
     for call in range(-40, calls):  # the first ones while it gets to know its servers
         said = [*driver.arrive(call + 41, "once"), *driver.wait(0.05)]
-        driver.settle(only_send(said), Status.OK)
+        driver.finish(only_send(said), Status.OK)
         asked = [a for a in said if isinstance(a, Probe)]
         probes += len(asked) if call >= 0 else 0
         driver.feed(*[Probed(a.server, Status.OK, 0.001, {"busy_reqs": 1.0}) for a in asked])
@@ -614,15 +614,15 @@
     # Each held a place of W for 3 s, and their waits raised procQ: up to 40% was refused.
     driver = Driver(settings(), servers=entries(1))
     for call in range(30):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     balancer = driver.balancer
     window, proc = balancer.admission.window, balancer.admission.proc
     silent = only_send(driver.arrive(30, "once"))
     for call in range(31, 60):
         driver.wait(0.05)
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     assert balancer.busy == 0 and silent.call in balancer.gate.calls
-    driver.settle(silent, Status.TIMEOUT, elapsed=1.9, final=True)
+    driver.finish(silent, Status.TIMEOUT, elapsed=1.9, final=True)
     assert balancer.admission.window >= window
     assert balancer.admission.proc == pytest.approx(proc, rel=0.1)
 
@@ -631,7 +631,7 @@
     """Nothing sent after them was served, so they are signs of the server."""
     driver = Driver(settings(), servers=entries(1))
     for call in range(30):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     driver.arrive(30, "once")
     for _ in range(4):
         driver.wait(0.05)
@@ -642,12 +642,12 @@
     """Found on a zone day of the short ones: resets come up to 0.8 s after the request, on sound servers."""
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     window = driver.balancer.admission.window
     send = only_send(driver.arrive(60, "once"))
     driver.wait(driver.balancer.kinds["once"].target + 0.1)
     assert driver.balancer.admission.window < window  # by its age it looks like one
-    driver.settle(send, Status.RESET, elapsed=0.5, final=True)
+    driver.finish(send, Status.RESET, elapsed=0.5, final=True)
     assert driver.balancer.admission.window == pytest.approx(window, rel=0.02)
 
 
@@ -655,11 +655,11 @@
     """Its client left it less time than an answer may take."""
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     window, target = driver.balancer.admission.window, driver.balancer.kinds["once"].target
-    driver.settle(only_send(driver.arrive(60, "once")), Status.TIMEOUT, elapsed=target / 2, final=True)
+    driver.finish(only_send(driver.arrive(60, "once")), Status.TIMEOUT, elapsed=target / 2, final=True)
     assert driver.balancer.admission.window == window
-    driver.settle(only_send(driver.arrive(61, "once")), Status.TIMEOUT, elapsed=target + 0.1, final=True)
+    driver.finish(only_send(driver.arrive(61, "once")), Status.TIMEOUT, elapsed=target + 0.1, final=True)
     assert driver.balancer.admission.window < window
 
 
@@ -667,7 +667,7 @@
     """Where few calls go to a server none that was sent later may be served for long; it is asked then."""
     driver = Driver(settings(may_probe=True), servers=entries(1))
     for call in range(30):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
         driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.arrive(30, "once")
     asked = [action for action in driver.wait(0.8) if isinstance(action, Probe)]
@@ -686,15 +686,15 @@
     driver = Driver(settings(), servers=entries(1, 2, 3))
     for call in range(40):
         send = only_send(driver.arrive(call, "once"))
-        driver.settle(send, Status.OK)
+        driver.finish(send, Status.OK)
     window = driver.balancer.admission.window
     for call in range(40, 60):
         send = only_send(driver.arrive(call, "once"))
-        driver.settle(send, Status.ERROR, final=True)
+        driver.finish(send, Status.ERROR, final=True)
         driver.wait(0.05)
     assert driver.balancer.admission.window == window
     send = only_send(driver.arrive(60, "once"))
-    driver.settle(send, Status.OK, elapsed=1.5)  # a late answer does shut it
+    driver.finish(send, Status.OK, elapsed=1.5)  # a late answer does shut it
     assert driver.balancer.admission.window < window
 
 
@@ -703,7 +703,7 @@
     # taught nothing, and the next call went out on one as old.
     driver = Driver(settings(conn_idle=30.0), servers=entries(1))
     first, second = only_send(driver.arrive(1)), only_send(driver.arrive(2))
-    driver.settle(first, Status.OK)
+    driver.finish(first, Status.OK)
     driver.wait(0.4)
     third = only_send(driver.arrive(3))  # the second is still out: the server looks in use
     assert third.trust > 20.0
@@ -722,7 +722,7 @@
         driver.feed(ClosedAtRest(1, rested))
         send = only_send(driver.arrive(call))
         assert least < send.trust <= most
-        driver.settle(send, Status.OK)
+        driver.finish(send, Status.OK)
     driver.wait(60.0)
     assert only_send(driver.arrive(9)).trust > 2.0  # older ones are tried again
 
@@ -731,13 +731,13 @@
     # Found on idle_reap days of pratiche-nord: each lost idle connection ejected a sound server, and the
     # next idle one was used all the same.
     driver = Driver(settings(), servers=entries(1))
-    driver.settle(only_send(driver.arrive(1, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(1, "once")), Status.OK)
     driver.wait(3.0)
     send = only_send(driver.arrive(2, "once"))
-    assert CloseIdle(1) not in driver.said
-    driver.settle(send, Status.RESET, elapsed=0.001)
+    assert CloseIdle(1) not in driver.actions
+    driver.finish(send, Status.RESET, elapsed=0.001)
     assert not driver.balancer.servers.known[1].ejected_until
-    driver.settle(only_send(driver.arrive(3, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(3, "once")), Status.OK)
     driver.wait(3.0)
     actions = driver.arrive(4, "once")
     assert actions.index(CloseIdle(1)) < actions.index(only_send(actions))
@@ -748,20 +748,20 @@
     # others milliseconds before, until none was left.
     driver = Driver(settings(), servers=entries(1, 2))
     unheard = only_send(driver.arrive(1, "once"))
-    driver.settle(unheard, Status.RESET)
+    driver.finish(unheard, Status.RESET)
     known = driver.balancer.servers.known
     assert known[unheard.server].ejected_until
     other = known[3 - unheard.server]
-    driver.settle(only_send(driver.arrive(2, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(2, "once")), Status.OK)
     for call, status in enumerate((Status.RESET, Status.CONNECT_FAILED, Status.OK, Status.RESET), 3):
         send = only_send(driver.arrive(call, "once"))
-        driver.settle(send, status, elapsed=0.001, final=True)
+        driver.finish(send, status, elapsed=0.001, final=True)
         assert send.server == other.id and not other.ejected_until
-    driver.wait(CONNECTIONS_FULL + 0.1)
-    driver.settle(only_send(driver.arrive(7, "once")), Status.OK)
+    driver.wait(CONNECTION_LIMIT_TIME + 0.1)
+    driver.finish(only_send(driver.arrive(7, "once")), Status.OK)
     out = [only_send(driver.arrive(call, "once")) for call in (8, 9, 10)]
     for broken, send in enumerate(out, 1):  # a process that dies breaks all that it has
-        driver.settle(send, Status.RESET)
+        driver.finish(send, Status.RESET)
         assert bool(other.ejected_until) == (broken >= 3)
 
 
@@ -771,36 +771,36 @@
     servers = driver.balancer.servers
     safe, once = driver.balancer.kinds["safe"], driver.balancer.kinds["once"]
     send = only_send(driver.arrive(1, "once"))
-    driver.settle(send, Status.FULL, elapsed=0.354, final=True)
+    driver.finish(send, Status.FULL, elapsed=0.354, final=True)
     failed = servers.known[send.server]
-    assert servers.failing(failed, once, driver.now) == pytest.approx(0.3)
-    assert servers.failing(failed, safe, driver.now) == 0.0
-    assert servers.usual_failing(once, driver.now) == pytest.approx(0.15)
+    assert servers.failure_share(failed, once, driver.now) == pytest.approx(0.3)
+    assert servers.failure_share(failed, safe, driver.now) == 0.0
+    assert servers.pool_failure_share(once, driver.now) == pytest.approx(0.15)
     assert all(only_send(driver.arrive(call, "once")).server != failed.id for call in (2, 3))
-    faded = servers.failing(failed, once, driver.now + FAILING_MEMORY)
+    faded = servers.failure_share(failed, once, driver.now + FAILURE_SHARE_DECAY_TIME)
     assert faded == pytest.approx(0.3 / 2.71828, rel=1e-3)
 
 
 def test_what_never_ran_is_tried_again_for_less_than_what_may_have_run() -> None:
     # Found there too: the retry budget of inner tiers went to calls turned away; each lost its caller.
     driver = Driver(settings())
-    driver.balancer.retry_tokens = RETRY_UNSEEN
+    driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
     first = only_send(driver.arrive(1))
-    driver.balancer.retry_tokens = RETRY_UNSEEN
-    assert len(sends(driver.settle(first, Status.FULL))) == 1
-    driver.balancer.retry_tokens = RETRY_UNSEEN
-    assert not sends(driver.settle(only_send(driver.arrive(2)), Status.ERROR))
+    driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
+    assert len(sends(driver.finish(first, Status.FULL))) == 1
+    driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
+    assert not sends(driver.finish(only_send(driver.arrive(2)), Status.ERROR))
 
 
 def test_a_connection_s_fault_leaves_the_server_s_pace_alone_and_old_samples_fade() -> None:
     # Found there too: resets counted as 8 latencies; a server that got no calls kept its last word for 16 s.
     driver = Driver(settings(), servers=entries(1))
-    driver.settle(only_send(driver.arrive(1, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(1, "once")), Status.OK)
     server = driver.balancer.servers.known[1]
     before = server.latency_sum, server.load_sum
-    driver.settle(only_send(driver.arrive(2, "once")), Status.RESET)
+    driver.finish(only_send(driver.arrive(2, "once")), Status.RESET)
     assert (server.latency_sum, server.load_sum) == before
-    driver.wait(PACE_MEMORY)
+    driver.wait(CAPACITY_DECAY_TIME)
     assert server.load_sum == pytest.approx(before[1] / 2.71828, rel=0.01)
     assert server.latency_sum / server.load_sum == pytest.approx(before[0] / before[1])
 
@@ -811,9 +811,9 @@
         driver = Driver(settings(may_probe=False), servers=entries(1, 2))
         first = only_send(driver.arrive(1))
         for call in range(2, 12):  # open on one server, and slow or not when opened
-            driver.settle(first, Status.OK, elapsed=0.1)
-            driver.balancer.servers.on_new.add(new_cost, 30)
-            driver.balancer.servers.on_open.add(1.0, 30)
+            driver.finish(first, Status.OK, elapsed=0.1)
+            driver.balancer.servers.new_connection_latency.add(new_cost, 30)
+            driver.balancer.servers.open_connection_latency.add(1.0, 30)
             first = only_send(driver.arrive(call))
         return int(only_send(driver.arrive(12)).server == first.server)
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -92,7 +92,7 @@
     made = Checked(1)
     made.lose()
     made.wait(LEASE + 0.1)
-    made.settle(only_send(made.arrive(1)), Status.OK)
+    made.finish(only_send(made.arrive(1)), Status.OK)
     made.feed(Probed(1, Status.ERROR, 0.0))
     made.stop_health_checks()
     assert sends(made.arrive(2)) == []
@@ -112,7 +112,7 @@
     made = Checked(1)
     made.lose(MOVE_TOLD)
     made.wait(MOVE_TOLD - 0.2)
-    made.settle(only_send(made.arrive(1)), Status.OK)
+    made.finish(only_send(made.arrive(1)), Status.OK)
     if not checked_after:
         made.stop_health_checks()
     made.wait(0.15)
@@ -123,10 +123,10 @@
     made = Checked(1)
     made.lose(MOVE_TOLD)
     made.wait(MOVE_TOLD)
-    made.settle(only_send(made.arrive(1)), Status.OK)
+    made.finish(only_send(made.arrive(1)), Status.OK)
     made.stop_health_checks()
     made.wait(TOLD_LEASE - 0.1)
-    made.settle(only_send(made.arrive(2)), Status.OK)
+    made.finish(only_send(made.arrive(2)), Status.OK)
     made.wait(0.2)
     assert sends(made.arrive(3)) == []
 
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -11,7 +11,7 @@
 
 from granitepoint import Balancer, Event, ListKind, Outcome, Refuse, ServerList, Settings, Status
 from granitepoint.admission import Kind
-from granitepoint.logic import Attempt, Call, Obligations, Server, Servers
+from granitepoint.logic import Attempt, Call, SafetyRules, Server, Servers
 from granitepoint.modelcheck import __main__ as command
 from granitepoint.modelcheck.__main__ import main
 from granitepoint.modelcheck.check import Found, check
@@ -29,34 +29,34 @@
     check(name, examples, steps, 1, phases=FIRST_FOUND)
 
 
-class ForgetsTheWindow(Obligations):
-    def within(self, call: Call, now: float) -> float:
+class ForgetsTheWindow(SafetyRules):
+    def dedup_time_left(self, call: Call, now: float) -> float:
         return math.inf
 
 
-class ForgetsTheGroup(Obligations):
+class ForgetsTheGroup(SafetyRules):
     @staticmethod
     def same_group(cls: Kind, attempt: Attempt, server: Server) -> bool:
         return True
 
 
-class RefusesAll(Obligations):
+class RefusesAll(SafetyRules):
     def may_refuse(self, call: Call) -> bool:
         return True
 
 
-class AnswersTwice(Obligations):
+class AnswersTwice(SafetyRules):
     def answer(self, call: Call, retry_after: float = 0.0) -> None:
         super().answer(call, retry_after)
         self.actions.append(Refuse(call.id))
 
 
-class NeverForgets(Obligations):
-    def forget(self, call: Call) -> None:
+class NeverForgets(SafetyRules):
+    def remove_if_done(self, call: Call) -> None:
         pass
 
 
-def with_gate(gate: type[Obligations]) -> Make:
+def with_gate(gate: type[SafetyRules]) -> Make:
     class Changed(Balancer):
         def __init__(self, settings: Settings, seed: int) -> None:
             super().__init__(settings, seed)
@@ -104,7 +104,7 @@
 
 
 def test_a_cold_server_that_gets_all_it_seems_fit_for_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Servers, "ramp", lambda self, server, now: 1.0)
+    monkeypatch.setattr(Servers, "slow_start_share", lambda self, server, now: 1.0)
     with pytest.raises(Found, match="^cold: "):
         check("cold", 100, 20, 1, phases=FIRST_FOUND)
 
@@ -131,7 +131,7 @@
 def test_a_case_is_told_as_a_test_that_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Obligations, "may_refuse", lambda self, call: True)
+    monkeypatch.setattr(SafetyRules, "may_refuse", lambda self, call: True)
     with pytest.raises(Found) as found:
         check("repeat", 100, 30, 1, phases=FIRST_FOUND)
     names: dict[str, Any] = {}
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -26,7 +26,7 @@
     Watch,
 )
 from granitepoint.admission import Kind
-from granitepoint.logic import Call, Obligations, Server
+from granitepoint.logic import Call, SafetyRules, Server
 
 NEVER = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
 MAYBE = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
@@ -34,16 +34,16 @@
 
 def gate_with(
     cls: str, status: Status | None, duplicate: bool = False, cap: int = 3
-) -> tuple[Obligations, Call]:
+) -> tuple[SafetyRules, Call]:
     """A gate and a call with one earlier attempt on server 1, sent at 100.0; status None: still out."""
-    gate = Obligations(settings(may_duplicate=duplicate, max_attempts=cap), [])
+    gate = SafetyRules(settings(may_duplicate=duplicate, max_attempts=cap), [])
     kind = Kind(next(c for c in CLASSES if c.name == cls), 0)
     call = Call(7, kind, 1.0, 100.0, 102.0, 101.0)
     gate.calls[7] = call
     attempt = gate.send(call, server(1), 100.0, 1.0, 0.0)
     assert attempt is not None
     if status is not None:
-        gate.settle(attempt, status, False)
+        gate.finish_attempt(attempt, status, False)
     return gate, call
 
 
@@ -80,7 +80,7 @@
     gate, call = gate_with("zoned", Status.FULL)
     second = gate.send(call, server(2), 100.3, 1.0, 0.0)
     assert second is not None
-    gate.settle(second, Status.ERROR, False)
+    gate.finish_attempt(second, Status.ERROR, False)
     assert gate.may_send(call, server(3), 100.79)
     assert not gate.may_send(call, server(3), 100.8)
 
@@ -135,7 +135,7 @@
         for call in range(20):
             for send in sends(driver.arrive(call)):
                 assert send.server == 2
-                driver.settle(send, Status.OK)
+                driver.finish(send, Status.OK)
 
 
 def test_absence_from_a_full_list_is_removal() -> None:
@@ -161,7 +161,7 @@
     driver = Driver(settings())
     send = only_send(driver.arrive(1, "once", budget=0.9))
     driver.now += 0.9
-    assert Fail(1) in driver.settle(send, Status.TIMEOUT, elapsed=0.9)
+    assert Fail(1) in driver.finish(send, Status.TIMEOUT, elapsed=0.9)
 
 
 def test_client_that_leaves_within_the_batch_it_came_in_gets_nothing() -> None:
@@ -175,8 +175,8 @@
 def test_unknown_ids_and_stale_timers_change_nothing() -> None:
     driver = Driver(settings())
     send = only_send(driver.arrive(1))
-    driver.settle(send, Status.OK)
-    actions: list[Action] = driver.settle(send, Status.OK)
+    driver.finish(send, Status.OK)
+    actions: list[Action] = driver.finish(send, Status.OK)
     actions += driver.feed(Gone(1), Gone(99), StreamStarted(1, 0, 1))
     assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
     assert not [a for a in driver.feed(Arrival(1, "safe", 2.0)) if isinstance(a, Fail | Refuse) or sends([a])]
@@ -200,7 +200,7 @@
         driver.wait(0.025)
         out.append(only_send(driver.arrive(call)))
         if len(out) > 6:
-            driver.settle(out.pop(0), Status.OK, elapsed=0.15)
+            driver.finish(out.pop(0), Status.OK, elapsed=0.15)
     driver.feed(ServerList(ListKind.INCREMENTAL, entries(4, started_at=driver.now)))
     first = driver.now
     to_cold: list[float] = []
@@ -209,7 +209,7 @@
         driver.wait(0.025)
         out.append(only_send(driver.arrive(call)))
         to_cold += [driver.now - first] * (out[-1].server == 4)
-        driver.settle(out.pop(0), Status.OK, elapsed=0.15)
+        driver.finish(out.pop(0), Status.OK, elapsed=0.15)
     fair = 40 / 4  # calls a second of a warm server
     for start in to_cold:
         sent = sum(1 for t in to_cold if start <= t < start + 1.5)
@@ -245,9 +245,9 @@
             driver.feed(*[Probed(action.server, status, 0.001) for action in asked])
 
     wait(15.0, Status.OK)
-    assert driver.said.count(Watch(True)) == 1
+    assert driver.actions.count(Watch(True)) == 1
     wait(20.0, Status.CONNECT_FAILED)
-    assert 2 <= driver.said.count(Watch(True)) - 1 <= 3
+    assert 2 <= driver.actions.count(Watch(True)) - 1 <= 3
 
 
 def test_failed_watches_are_asked_again_within_the_ask_limit() -> None:
@@ -268,13 +268,13 @@
 def test_the_group_of_an_attempt_is_that_of_its_server_when_it_was_sent(group: str) -> None:
     """A list that names the server in another zone or cell later moves no copy that may have run there."""
     kind = Kind(replace(next(c for c in CLASSES if c.name == "zoned"), group=group), 0)
-    gate = Obligations(settings(), [])
+    gate = SafetyRules(settings(), [])
     call = Call(7, kind, 1.0, 100.0, 102.0, 101.0)
     gate.calls[7] = call
     first = server(1, zone="a")
     attempt = gate.send(call, first, 100.0, 1.0, 0.0)
     assert attempt is not None
-    gate.settle(attempt, Status.RESET, False)
+    gate.finish_attempt(attempt, Status.RESET, False)
     first.zone, first.cell = "b", 1
     assert not gate.may_send(call, server(2, zone="b", cell=1), 100.1)
     assert gate.may_send(call, server(2, zone="a"), 100.1)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -194,7 +194,7 @@
             if restarted and send.server == 1:
                 cold.append(driver.now - begun)
         while out and out[0][0] <= driver.now:
-            driver.settle(out.pop(0)[1], Status.OK, elapsed=latency)
+            driver.finish(out.pop(0)[1], Status.OK, elapsed=latency)
     share = rate / servers  # calls a second of a warm server that are this instance's
     for start in cold:
         sent = sum(1 for t in cold if start <= t < start + 1.5)
