--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -1,7 +1,11 @@
-"""All decisions of a granitepoint instance. What goes in and out is defined in granitepoint/interface.py.
+"""The balancer's decision logic. Its inputs and outputs are defined in granitepoint/interface.py.
 
-Order of the file: tunables, obligations (the gate), admission, queue, servers and the pick, the Balancer.
-One unit of time: seconds. No I/O, no clock, no globals that change; chance comes from an own seeded source.
+Order of the file: tunables, safety rules, servers and server selection, then the Balancer with its queue.
+Admission control is in granitepoint/admission.py; leases, health checks and backoff towards discovery are in
+granitepoint/membership.
+
+All times are in seconds. The module does no I/O, reads no clock and changes no globals; randomness comes from
+a seeded generator of its own.
 """
 
 from __future__ import annotations
@@ -52,113 +56,134 @@
 from granitepoint.membership.health_checks import HealthLeases
 from granitepoint.membership.list_lease import ListLease
 
-# -- tunables: name, unit, reason ----------------------------------------------------------------------
-CONTROL_STEP = 0.05  # s, the control step: a few steps fit into the shortest call worth steering
-MAX_ENDED_CALL_IDS = 1000  # calls that are over whose ids are still known
-STALL_THRESHOLD = 4 * CONTROL_STEP  # s without a turn after which the times of what comes tell of this instance itself
-ANSWER_MARGIN = 2 * CONTROL_STEP  # s before a client's deadline at which a held call is answered at the latest
-MIN_LATENCY = 1e-4  # s; no answer counts as quicker, so that means stay above 0
-MAX_LOCAL_POOL_SIZE = 10  # servers of the own zone that an instance uses
-MAX_POOL_SIZE = 16  # servers that an instance uses in all
-CAPACITY_PRIOR_SAMPLES = 8.0  # samples that the prior of a server's capacity weighs
-CAPACITY_SAMPLE_DECAY = 0.9  # weight of a server's older samples at each new one
-CAPACITY_DECAY_TIME = 30.0  # s in which they fade without new ones, so that a slow server is tried again
-PROBES_PER_CALL = 0.05  # probes per arriving call: each request makes several
-MIN_PROBE_RATE = 0.3  # probes per s, so that an idle instance still knows its servers
-MAX_LEASE_PROBE_DEBT = 5.0  # steady probes that health checks for leases may take the place of at once
-INITIAL_PROBES = 8.0  # probes at the start, over all zones: an instance that knows no load follows the herd
-MAX_PRE_SEND_PROBE_PRICE = 0.006  # points of price per call that may go to probes sent for that call alone
-PRE_SEND_PROBE_COUNT = 3  # servers asked for one call; more gains little over three fresh figures
-PRE_SEND_PROBE_WAIT = 0.01  # s that a call waits for their answers
-MAX_REPORT_DELAY = 0.5  # s by which a report may lie behind: it is refreshed now and then
-SMOOTHED_LOAD_DECAY_RATIO = 10.0  # fades of a report after which a server's usual load is half forgotten
-ZONE_LOAD_SAMPLES = 10  # reports over which a zone's load is averaged: a few seconds of probes at a call a second
-CROSS_ZONE_COST_FACTOR = 3.0  # aims that one full crossing price is worth when servers are compared
-QUEUE_TAIL_ALLOWANCE = 2.0  # mean latencies that a held call should have left when its turn comes: work has long tails
-RETRY_RATIO = 0.15  # further attempts per arriving call: a retry budget stops multiplication through tiers
-RETRY_BURST = 5.0  # further attempts that may come at once
-NEVER_RAN_RETRY_COST = 0.25  # of a further attempt, that one after an attempt that never ran counts as
-HEDGE_AGE = 4.0  # mean latencies after which a call is taken to be stuck
-HEDGE_WORK_RATIO = 0.15  # mean calls' work, per arriving call, that all tiers together may spend on such calls
-HEDGE_WORK_BURST = 5.0  # mean calls' work that may be spent on them at once
-MAX_HEDGE_WORK = 20.0  # mean calls' work that one counts as at most: the mean may be a guess, or of light calls
-HEDGE_TIME_LEFT = 3.0  # mean latencies that must be left to such a call, and until then its first may be answered
-BASE_EJECTION_TIME = 0.5  # s of the first ejection; doubles up to EJECT_LONGEST
+# -- tunables ------------------------------------------------------------------------------------------
+CONTROL_STEP = 0.05  # s between control steps: even the shortest calls worth steering span several
+MAX_ENDED_CALL_IDS = 1000  # ids of ended calls that are kept, to recognise repeated arrivals
+# s between two batches above which measured times include a pause of this instance itself
+STALL_THRESHOLD = 4 * CONTROL_STEP
+ANSWER_MARGIN = 2 * CONTROL_STEP  # s before the client's deadline by which a queued call is answered
+MIN_LATENCY = 1e-4  # s, lower bound of a measured latency, so that means stay above 0
+MAX_LOCAL_POOL_SIZE = 10  # servers of its own zone that an instance uses
+MAX_POOL_SIZE = 16  # servers that an instance uses in all zones
+CAPACITY_PRIOR_SAMPLES = 8.0  # samples that the prior estimate of a server's capacity counts as
+CAPACITY_SAMPLE_DECAY = 0.9  # factor applied to a server's older samples at each new one
+# s, time constant at which the samples decay without new ones, so that a slow server is tried again
+CAPACITY_DECAY_TIME = 30.0
+PROBES_PER_CALL = 0.05  # probes per arriving call; each request makes several calls
+MIN_PROBE_RATE = 0.3  # probes per s, so that an idle instance still has load reports of its servers
+MAX_LEASE_PROBE_DEBT = 5.0  # regular probes that health checks for leases may use up in advance
+# Probes at the start, over all zones: without load reports, a new instance adds its calls to servers that
+# are already crowded.
+INITIAL_PROBES = 8.0
+MAX_PRE_SEND_PROBE_PRICE = 0.006  # points per call: highest price of the probes sent for that call alone
+PRE_SEND_PROBE_COUNT = 3  # servers probed for one call; more than three current reports gain little
+PRE_SEND_PROBE_WAIT = 0.01  # s that a call waits for the answers to these probes
+MAX_REPORT_DELAY = 0.5  # s by which a load report may lag behind: servers refresh it periodically
+SMOOTHED_LOAD_DECAY_RATIO = 10.0  # decay time of a server's smoothed load over that of its last report
+ZONE_LOAD_SAMPLES = 10  # reports in a zone's mean load: a few seconds of probes at one call per second
+CROSS_ZONE_COST_FACTOR = 3.0  # latency objectives that a full cross-zone price counts as in a server's cost
+# mean latencies that should remain when a queued call's turn comes: latencies have a long tail
+QUEUE_TAIL_ALLOWANCE = 2.0
+RETRY_RATIO = 0.15  # further attempts per arriving call: a budget stops amplification across the tiers
+RETRY_BURST = 5.0  # further attempts that may be sent at once
+NEVER_RAN_RETRY_COST = 0.25  # further attempts that one after an attempt that never ran counts as
+HEDGE_AGE = 4.0  # mean latencies after which an attempt counts as stuck
+HEDGE_WORK_RATIO = 0.15  # work of mean calls, per arriving call, that all tiers together may spend on hedges
+HEDGE_WORK_BURST = 5.0  # work of mean calls that may be spent on hedges at once
+# work of mean calls that one hedge is charged at most: the mean may be a guess or come from light calls
+MAX_HEDGE_WORK = 20.0
+# mean latencies of useful time that a hedge needs; until no more is left, the first attempt may be answered
+HEDGE_TIME_LEFT = 3.0
+BASE_EJECTION_TIME = 0.5  # s, the first ejection; it doubles each time, up to MAX_EJECTION_TIME
 MAX_EJECTION_TIME = 8.0  # s
-MAX_EJECTION_SHARE = 0.34  # share of the pool that soft signs may eject: if more look ill, the cause lies elsewhere
-ALIVE_TIMEOUT = 1.0  # s since its last answer, of any kind, within which a server is not taken to be dead
-DEAD_AFTER_CONNECTION_FAILURES = 3  # broken or refused connections in a row, with no answer between, after which it is all the same
-FULL_AFTER_CONNECT_FAILURES = 2  # failed connects, and none good between, after which a live server has no room for more
-CONNECTION_LIMIT_TIME = 5.0  # s for which a server without room gets no further connection
-ERROR_EXCESS = 0.35  # error share above the pool's that condemns a server
+# share of the pool that soft evidence may eject: if more servers look unhealthy, the cause lies elsewhere
+MAX_EJECTION_SHARE = 0.34
+ALIVE_TIMEOUT = 1.0  # s since its last answer, of any kind, within which a server counts as alive
+# connections broken or refused since its last answer after which a server counts as dead all the same
+DEAD_AFTER_CONNECTION_FAILURES = 3
+# failed connects since the last good one after which a live server counts as being at its connection limit
+FULL_AFTER_CONNECT_FAILURES = 2
+CONNECTION_LIMIT_TIME = 5.0  # s for which a server at its connection limit gets no further connection
+ERROR_EXCESS = 0.35  # error share above the pool's from which a server is at fault
 FAILURE_SHARE_WEIGHT = 0.3  # weight of the newest answer in the share of a class's calls that a server fails
-FAILURE_SHARE_DECAY_TIME = 5.0  # s in which such a share fades, so that the server is tried again
-COLD_BUDGET_SHARE = 0.5  # share of the allowed multiple of a cold server's capacity that all instances may use
-PEAK_RATE_DECAY_TIME = 60.0  # s, memory of an instance's highest send rate for a unit of size: long against a ramp
-STALE_LIST_JITTER = 2.0  # s over which instances ask again where servers contradict the list: all see it at once
-STALE_LIST_INTERVAL = 8.0  # s since it asked or was told within which an instance does not doubt the list
-MIN_IDLE_AGE = 0.2  # s; a connection used within it is not taken to be lost for lack of use
-IDLE_AGE_SAFETY_FACTOR = 0.7  # share of the age at which an idle connection was lost that is still trusted
-IDLE_AGE_DOUBLING_TIME = 15.0  # s in which the trusted age doubles again
-HIGH_CONNECT_COST = 1.5  # mean latencies that a new connection adds, above which a doubtful old one is used
+# s, time constant at which such a share decays, so that the server is tried again
+FAILURE_SHARE_DECAY_TIME = 5.0
+# share of the allowed multiple of a cold server's capacity that all instances together may use
+COLD_BUDGET_SHARE = 0.5
+# s, decay time of an instance's highest send rate per unit of weight: long compared with a slow start
+PEAK_RATE_DECAY_TIME = 60.0
+# s over which instances spread a new watch when servers contradict the list, which all of them see at once
+STALE_LIST_JITTER = 2.0
+STALE_LIST_INTERVAL = 8.0  # s after a watch or a list in which an instance does not suspect a stale list
+MIN_IDLE_AGE = 0.2  # s; the loss of a connection that was used within it has other causes than idleness
+IDLE_AGE_SAFETY_FACTOR = 0.7  # share of the age at which an idle connection was lost that is still used
+IDLE_AGE_DOUBLING_TIME = 15.0  # s in which the maximum idle age doubles again
+# mean latencies that a new connection adds, above which an old idle one is used in spite of the risk
+HIGH_CONNECT_COST = 1.5
 MIN_CONNECT_COST = 0.3  # mean latencies by which a server with an open connection is preferred at least
-CONNECT_COST_SAMPLES = 30  # sends over which new and open connections are compared
-LIST_WAIT_SHARE = 0.4  # share of a call's time for which it waits for a list that may be sent by
-MAX_FIRST_WATCH_DELAY = 2.0  # s over which the first calls of all instances are spread at most
-FIRST_WATCH_DELAY_PER_INSTANCE = 0.02  # s of that for each instance of each tier
-WATCH_PAUSE_FACTOR = 4.0  # times the settings' time for asking that a proxy whose call failed may wait
-RETRY_ADVICE_FACTOR = 0.25  # procQ that a refused client is told to stay away
+CONNECT_COST_SAMPLES = 30  # attempts over which new and open connections are compared
+LIST_WAIT_SHARE = 0.4  # share of a call's time for which it waits for a list with a valid lease
+MAX_FIRST_WATCH_DELAY = 2.0  # s, longest period over which all instances spread their first watch
+FIRST_WATCH_DELAY_PER_INSTANCE = 0.02  # s of that period for each instance of each tier
+WATCH_PAUSE_FACTOR = 4.0  # longest pause after a failed watch, in multiples of Settings.must_ask_within
+RETRY_ADVICE_FACTOR = 0.25  # latency estimates that a refused client is advised to wait
 TICK_TOKEN, PRE_SEND_PROBE_TOKEN = 1, 2
-GOLDEN_RATIO_CONJUGATE = 0.6180339887498949  # its multiples lie evenly between 0 and 1, however many there are
-MAX_LATENCY_RATIO = 8.0  # mean latencies that a failed attempt counts as at most
+GOLDEN_RATIO_CONJUGATE = 0.6180339887498949  # its multiples modulo 1 are evenly spread, for any count
+MAX_LATENCY_RATIO = 8.0  # most mean latencies that an attempt counts as; a failed one counts as that many
 
 
-# -- obligations -----------------------------------------------------------------------------------------
+# -- safety rules ----------------------------------------------------------------------------------------
 class Attempt:
+    """One attempt of a call on one server."""
+
     __slots__ = (
-        "charged_to_server",
         "call",
         "cell",
+        "charged_to_server",
         "counts_toward_limit",
+        "hedged",
         "idle_time",
-        "over_target",
         "load",
-        "stalled_connection",
-        "number",
         "new_connection",
-        "hedged",
+        "number",
+        "over_target",
         "sent_at",
         "server",
+        "stalled_connection",
         "status",
         "zone",
     )
 
     def __init__(self, call: Call, number: int, server: Server, sent_at: float, load: float) -> None:
+        """`load`: the estimated number of calls on the server when this attempt was sent."""
         self.call, self.number, self.server, self.sent_at, self.load = call, number, server, sent_at, load
-        self.zone, self.cell = server.zone, server.cell  # a list may tell others of its server later
-        self.status = -1  # still out
-        self.counts_toward_limit = True  # takes a place in W
-        self.over_target = False  # has been counted as late
-        self.idle_time = 0.0  # s that the connection had not been used; 0: in use or new
-        self.new_connection = False  # the connection was new
-        self.charged_to_server = False  # has been counted as a sign against its server
+        self.zone, self.cell = server.zone, server.cell  # copied: a later list may move the server
+        self.status = -1  # in flight; later a Status
+        self.counts_toward_limit = True  # takes up a part of the concurrency limit
+        self.over_target = False  # has been reported to admission control as late
+        self.idle_time = 0.0  # s for which the connection had not been used; 0: in use or new
+        self.new_connection = False  # the connection was opened for this attempt
+        self.charged_to_server = False  # has been counted against its server
         self.hedged = False
-        self.stalled_connection = False  # overtaken for so long that its connection is at fault, not its server
+        # Its server has answered later attempts, or does not report it: the connection is at fault.
+        self.stalled_connection = False
 
 
 class Call:
+    """A request in progress, with its attempts. Calls sort by utility, highest first, then by arrival."""
+
     __slots__ = (
         "arrived_at",
-        "probed_candidates",
-        "probe_wait_until",
         "attempts",
         "cls",
         "deadline",
         "ended",
         "id",
-        "sort_key",
         "in_flight",
+        "probe_wait_until",
+        "probed_candidates",
         "queued",
+        "sort_key",
         "streaming",
         "useful_until",
         "utility",
@@ -167,11 +192,12 @@
     def __init__(
         self, id: int, cls: Kind, utility: float, arrived_at: float, deadline: float, useful_until: float
     ) -> None:
+        """`useful_until`: when an answer loses its utility, at the latest at the deadline."""
         self.id, self.cls, self.utility, self.arrived_at = id, cls, utility, arrived_at
         self.deadline, self.useful_until = deadline, useful_until
         self.sort_key = (-utility, arrived_at, id)
         self.attempts: list[Attempt] = []
-        self.in_flight = 0
+        self.in_flight = 0  # attempts without an outcome
         self.ended = self.streaming = self.queued = False
         self.probed_candidates: list[Server] | None = None  # servers probed for this call alone
         self.probe_wait_until = 0.0
@@ -181,15 +207,20 @@
 
 
 class SafetyRules:
-    """The one gate for every send and every final answer. Whatever the heuristics want, the rules hold."""
+    """Checks every attempt and every final answer before it leaves, whatever the heuristics ask for.
+
+    The rules cover repeated execution, deadlines, drained servers, the number of attempts and the leases on
+    the list and its servers.
+    """
 
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
+        """`actions`: the list that sends and answers are appended to."""
         self.settings = settings
         self.list_lease = ListLease(settings.told_after)
         self.health_leases = HealthLeases(confirmed=not settings.ask_for_list, checkable=settings.may_probe)
         self.actions = actions
         self.calls: dict[int, Call] = {}
-        self.ended_ids: dict[int, None] = {}  # ids of the last calls that are over: no news
+        self.ended_ids: dict[int, None] = {}  # ids of the latest ended calls, oldest first
 
     @staticmethod
     def first_possible_execution(call: Call) -> Attempt | None:
@@ -200,11 +231,12 @@
         return None
 
     def may_send(self, call: Call, server: Server, now: float) -> bool:
+        """Whether an attempt of the call may go to the server now."""
         leased = self.list_lease.valid(now) and self.health_leases.valid(server, now)
         return leased and self.may_send_ignoring_leases(call, server, now)
 
     def may_send_ignoring_leases(self, call: Call, server: Server, now: float) -> bool:
-        """All but the leases, which a list or a health check may renew at any moment."""
+        """Like `may_send`, without the leases, which a list or a health check may renew at any moment."""
         if call.streaming or now >= call.deadline or server.state is not ServerState.SERVING:
             return False
         if not call.attempts:
@@ -217,8 +249,11 @@
         return self.same_group(call.cls, first, server) and self.dedup_time_left(call, now) > 0
 
     def dedup_time_left(self, call: Call, now: float) -> float:
-        """Time left in which a further attempt is dropped by the group of one that may have run. It counts
-        from when that was decided, a little before it was sent."""
+        """Seconds for which servers still drop a further attempt as a duplicate of one that may have run.
+
+        Counted from the decision to send that one, which is slightly before it was sent. Infinite where no
+        attempt may have run or the class does not rely on deduplication.
+        """
         first = self.first_possible_execution(call)
         if first is None or call.cls.effect is not Effect.BY_KEY:
             return math.inf
@@ -226,7 +261,7 @@
 
     @staticmethod
     def same_group(cls: Kind, attempt: Attempt, server: Server) -> bool:
-        """Whether a server belongs to the group that drops copies of an attempt."""
+        """Whether a server belongs to the group that drops duplicates of an attempt."""
         if cls.group == "all":
             return True
         if cls.group == "zone":
@@ -234,32 +269,47 @@
         return attempt.zone == server.zone and attempt.cell == server.cell
 
     def may_refuse(self, call: Call) -> bool:
+        """Whether a refusal, which invites the client to try again, is safe."""
         effect = call.cls.effect
         if effect is Effect.REPEATABLE or (effect is Effect.BY_KEY and call.cls.group == "all"):
             return True
         return self.first_possible_execution(call) is None
 
     def may_attempt_again(self, call: Call) -> bool:
-        """Whether some further attempt could still be allowed."""
+        """Whether a further attempt could still be allowed, on some server."""
         if call.ended or call.streaming or len(call.attempts) >= self.settings.max_attempts:
             return False
         return call.cls.effect is not Effect.ONCE or self.first_possible_execution(call) is None
 
     def send(
-        self, call: Call, server: Server, now: float, timeout: float, load: float, max_idle_age: float = math.inf
+        self,
+        call: Call,
+        server: Server,
+        now: float,
+        timeout: float,
+        load: float,
+        max_idle_age: float = math.inf,
     ) -> Attempt | None:
+        """Sends an attempt, or returns None where the rules forbid it.
+
+        `timeout` (s) is cut to the call's deadline. A connection that has been idle for more than
+        `max_idle_age` (s) is not used.
+        """
         if not self.may_send(call, server, now):
             return None
-        within = self.dedup_time_left(call, now)
+        dedup_time_left = self.dedup_time_left(call, now)
         attempt = Attempt(call, len(call.attempts), server, now, load)
         call.attempts.append(attempt)
         call.in_flight += 1
-        allowed = max(CONTROL_STEP / 10, min(timeout, call.deadline - now))
-        self.actions.append(Send(call.id, server.id, allowed, max_idle_age, within))
+        attempt_timeout = max(CONTROL_STEP / 10, min(timeout, call.deadline - now))
+        self.actions.append(Send(call.id, server.id, attempt_timeout, max_idle_age, dedup_time_left))
         return attempt
 
     def answer(self, call: Call, retry_after: float = 0.0) -> None:
-        """The final answer: a refusal where it may be said that a further try is harmless, else a failure."""
+        """Gives the final answer: a refusal where a further try is harmless, else a failure.
+
+        `retry_after`: seconds that a refused client is advised to wait; 0: no advice.
+        """
         if call.ended:
             return
         if self.may_refuse(call):
@@ -269,20 +319,23 @@
         self.end(call)
 
     def refuse_invalid(self, id: int) -> None:
-        """The one answer to what cannot be a call: its class is unknown or its time is over."""
+        """Refuses an arrival that cannot become a call: its class is unknown or it has no time left."""
         self.actions.append(Refuse(id))
         self.record_ended(id)
 
     def record_ended(self, id: int) -> None:
+        """Keeps the id of an ended call, so that a repeated arrival is ignored."""
         self.ended_ids[id] = None
         if len(self.ended_ids) > MAX_ENDED_CALL_IDS:
             del self.ended_ids[next(iter(self.ended_ids))]
 
     def end(self, call: Call) -> None:
+        """Marks a call as answered, or as abandoned by its client."""
         call.ended = True
         self.remove_if_done(call)
 
     def finish_attempt(self, attempt: Attempt, status: int, final: bool) -> None:
+        """Records how an attempt ended. `final`: its answer has gone to the client, which ends the call."""
         call = attempt.call
         if attempt.status < 0:
             call.in_flight -= 1
@@ -292,6 +345,7 @@
         self.remove_if_done(call)
 
     def remove_if_done(self, call: Call) -> None:
+        """Removes a call that has ended and has no attempt in flight."""
         if call.ended and not call.in_flight:
             self.calls.pop(call.id, None)
             self.record_ended(call.id)
@@ -299,45 +353,48 @@
 
 # -- servers ---------------------------------------------------------------------------------------------
 class Server:
-    def __init__(self, entry: ServerEntry, tokens: float) -> None:
+    """A listed server and what this instance has learned of it."""
+
+    def __init__(self, entry: ServerEntry, slow_start_tokens: float) -> None:
         self.id = entry.server
-        self.slow_start_tokens = tokens  # of the cold budget
+        self.slow_start_tokens = slow_start_tokens  # attempts that may be sent to it while it is cold
         self.update(entry)
-        self.in_flight = 0  # own attempts out
+        self.in_flight = 0  # attempts of this instance
         self.ejected_until = 0.0  # 0: in use
-        self.ejections = 0
-        self.on_probation = False  # back on trial: one call at a time
-        self.last_ok = 0.0
+        self.ejections = 0  # in a row, which set the length of the next one
+        self.on_probation = False  # readmitted after an ejection: one call at a time until one succeeds
+        self.last_ok = 0.0  # when its last successful answer to a call came
         self.probe_out = False
         self.probed_at = -math.inf
         self.reset_statistics()
 
     def update(self, entry: ServerEntry) -> None:
+        """Takes over what the list says of the server."""
         self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
         self.weight, self.started_at = max(entry.weight, 1e-3), entry.started_at
         self.slow_start_from = entry.started_at
 
     def reset_statistics(self) -> None:
-        """Forget what was learned: the process is another one."""
-        self.last_answer_at = -math.inf  # its last answer to a call or a probe, whatever it said
-        self.connection_failures = 0  # connections broken or refused since
-        self.newest_served_sent_at = -math.inf  # when the latest of the calls that it has served was sent
-        self.load_sum = self.latency_sum = 0.0
-        self.error_share = 0.0  # running share of errors
-        self.failure_shares: dict[str, tuple[float, float]] = {}  # by class: share not served, as of when
-        self.smoothed_load = self.reported_load = 0.0
+        """Discards what was learned, for a new or restarted process."""
+        self.last_answer_at = -math.inf  # to a call or a probe, whatever it said
+        self.connection_failures = 0  # connections broken or refused since that answer
+        self.newest_served_sent_at = -math.inf  # when the newest of the calls that it has served was sent
+        self.load_sum = self.latency_sum = 0.0  # decaying sums over the capacity samples
+        self.error_share = 0.0  # moving average
+        self.failure_shares: dict[str, tuple[float, float]] = {}  # by class: share of failures, as of when
+        self.smoothed_load = self.reported_load = 0.0  # calls: moving average of the reports; the last report
         self.reported_at = -math.inf
-        self.net_sends_since_report = 0  # own sends less own answers since the report
-        self.slow_streak = 0
+        self.net_sends_since_report = 0  # own sends minus own answers
+        self.slow_streak = 0  # stuck or timed-out attempts in a row
         self.used_at = -math.inf  # the last send or answer
         self.checked_at = -math.inf  # when the last health check that it passed was sent
-        self.max_in_flight, self.max_in_flight_until = 0, 0.0  # while it has no room for more connections
-        self.connect_failures = 0  # connects that failed since one that served
+        self.max_in_flight, self.max_in_flight_until = 0, 0.0  # applies while it is at its connection limit
+        self.connect_failures = 0  # failed connects since the last one that served
         self.failed_probe_streak = 0
 
 
 class Servers:
-    """The list, the pool that this instance uses, server health and the pick."""
+    """The listed servers, the pool that this instance uses, server health and server selection."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.settings = settings
@@ -345,111 +402,128 @@
         self.known: dict[int, Server] = {}
         self.pool: list[Server] = []
         self.mean_load = Mean(1.0)
-        self.zone_load: dict[str, Mean] = {}  # reported calls for each unit of size
+        self.zone_load: dict[str, Mean] = {}  # reported calls per unit of weight
         self.error_share = Mean(0.0)
-        self.send_rate = self.peak_rate = 0.0  # sends a second; the highest for each unit of size
-        self.pool_weight = 0.0  # units of size of the pool, as remembered
-        self.mean_latency = 0.1  # s, the mean latency of a call
+        self.send_rate = self.peak_rate = 0.0  # attempts per s; their peak per s and unit of weight
+        self.pool_weight = 0.0  # weight of the pool, smoothed
+        self.mean_latency = 0.1  # s, of a call
         self.latency_objective = max(cls.aim for cls in settings.classes)
-        self.max_idle_age = settings.conn_idle  # s without use after which a connection is still trusted
-        self.open_connection_latency, self.new_connection_latency = Mean(1.0), Mean(1.0)  # mean latencies of a call on such
+        self.max_idle_age = settings.conn_idle  # s without use after which a connection is not relied on
+        # Mean latencies that a call takes on an open and on a new connection.
+        self.open_connection_latency, self.new_connection_latency = Mean(1.0), Mean(1.0)
 
     def apply_list(self, event: ServerList, now: float) -> None:
+        """Updates the known servers and the pool from a list; a failed one changes nothing."""
         if event.kind is ListKind.FAILED:
             return
-        named = set()
+        listed_ids = set()
         for entry in event.entries:
-            named.add(entry.server)
+            listed_ids.add(entry.server)
             server = self.known.get(entry.server)
             if server is None:
                 if entry.state is not ServerState.GONE:
                     self.known[entry.server] = Server(entry, self.random.random())
                 continue
             restarted = entry.started_at > server.started_at
-            ramp_from = server.slow_start_from
+            slow_start_from = server.slow_start_from
             server.update(entry)
             if restarted:
                 server.reset_statistics()
                 server.slow_start_tokens = self.random.random()
                 server.ejected_until, server.on_probation = 0.0, False
             else:
-                server.slow_start_from = max(ramp_from, entry.started_at)
+                server.slow_start_from = max(slow_start_from, entry.started_at)
         if event.kind is not ListKind.INCREMENTAL:
             for server in self.known.values():
-                if server.id not in named:
+                if server.id not in listed_ids:
                     server.state = ServerState.GONE
         for server in [s for s in self.known.values() if s.state is ServerState.GONE and not s.in_flight]:
             del self.known[server.id]
         self.rebuild_pool(now)
 
     def rebuild_pool(self, now: float) -> None:
-        """A bounded pool, so that probes and connections don't grow as instances x servers.
+        """Selects the servers to use; the pool is bounded, so that probes and connections don't grow as
+        instances x servers.
 
-        Each zone's servers form a ring; instances start at places spread evenly by their number.
+        Each zone's servers form a ring. Instances start at positions spread evenly by their number and take
+        ejected servers last.
         """
         zones: dict[str, list[Server]] = {}
         for id in sorted(self.known):
             server = self.known[id]
             if server.state is ServerState.SERVING:
                 zones.setdefault(server.zone, []).append(server)
-        place = self.settings.me * GOLDEN_RATIO_CONJUGATE % 1.0
+        position = self.settings.me * GOLDEN_RATIO_CONJUGATE % 1.0
         pool: list[Server] = []
         others: list[list[Server]] = []
         for zone in sorted(zones):
             ring = zones[zone]
-            start = int(place * len(ring))
+            start = int(position * len(ring))
             ring = ring[start:] + ring[:start]
             ring = [s for s in ring if not s.ejected_until] + [s for s in ring if s.ejected_until]
             if zone == self.settings.zone:
                 pool = ring[:MAX_LOCAL_POOL_SIZE]
             else:
                 others.append(ring)
-        place_of = 0
-        while len(pool) < MAX_POOL_SIZE and any(len(ring) > place_of for ring in others):
+        index = 0
+        while len(pool) < MAX_POOL_SIZE and any(len(ring) > index for ring in others):
             for ring in others:
-                if len(ring) > place_of and len(pool) < MAX_POOL_SIZE:
-                    pool.append(ring[place_of])
-            place_of += 1
+                if len(ring) > index and len(pool) < MAX_POOL_SIZE:
+                    pool.append(ring[index])
+            index += 1
         self.pool = pool
 
-    def decay_capacity(self, span: float) -> None:
-        """What is believed of a server that gets no calls must not keep it without calls. Guards against a
-        few slow answers, whatever their cause, that stay a server's last word. Harm: a slow server gets a
-        call now and then."""
-        share = math.exp(-span / CAPACITY_DECAY_TIME)
+    def decay_capacity(self, elapsed: float) -> None:
+        """Lets all capacity samples decay by `elapsed` seconds.
+
+        Otherwise a few slow answers, whatever their cause, would keep a server without calls for good, as no
+        new samples come without calls. The cost: a slow server gets a call now and then.
+        """
+        factor = math.exp(-elapsed / CAPACITY_DECAY_TIME)
         for server in self.pool:
-            server.load_sum *= share
-            server.latency_sum *= share
+            server.load_sum *= factor
+            server.latency_sum *= factor
 
     def slow_start_share(self, server: Server, now: float) -> float:
-        """Share of its capacity that a server surely has: it warms no slower than evenly."""
+        """Share of its full capacity that a server has by now: it warms up at least linearly."""
         age = now - server.slow_start_from
         if server.slow_start_from <= 0 or age >= self.settings.cold_for:
             return 1.0
-        from_share = self.settings.cold_from
-        return from_share + (1 - from_share) * max(0.0, age) / self.settings.cold_for
+        initial_share = self.settings.cold_from
+        return initial_share + (1 - initial_share) * max(0.0, age) / self.settings.cold_for
 
-    def refill_slow_start_tokens(self, now: float, span: float) -> None:
-        """A cold server looks idle to every instance at once: each may send no more than its fair share of
-        what the server can do by now, so that all together stay under the budget of any window."""
+    def refill_slow_start_tokens(self, now: float, elapsed: float) -> None:
+        """Refills the tokens of cold servers for `elapsed` seconds.
+
+        A cold server looks idle to every instance at once. Each may send no more than its fair share of the
+        server's present capacity, so that all together stay within the budget of any time window.
+        """
         total = sum(server.weight for server in self.pool)
-        share = COLD_BUDGET_SHARE * self.settings.fall_multiple
-        # As the send rate remembers: what went to many is no measure of what the few that are left can do.
-        self.pool_weight += (total - self.pool_weight) * (min(1.0, span / MEMORY) if self.pool_weight else 1.0)
-        # The peak, not the present rate: else few sends allow fewer still, and a fleet in a roll stays cold.
-        present = self.send_rate / self.pool_weight if self.pool_weight else 0.0
-        self.peak_rate = max(present, self.peak_rate * (1 - span / PEAK_RATE_DECAY_TIME))
+        budget_multiple = COLD_BUDGET_SHARE * self.settings.fall_multiple
+        # Smoothed over the same time as the send rate: when the pool shrinks, the rate that went to many
+        # servers must not count as what the few remaining ones can serve.
+        self.pool_weight += (total - self.pool_weight) * (
+            min(1.0, elapsed / MEMORY) if self.pool_weight else 1.0
+        )
+        # The peak and not the current rate: otherwise few attempts would allow even fewer, and a fleet in a
+        # rolling restart would stay cold.
+        current_rate = self.send_rate / self.pool_weight if self.pool_weight else 0.0
+        self.peak_rate = max(current_rate, self.peak_rate * (1 - elapsed / PEAK_RATE_DECAY_TIME))
         for server in self.pool:
-            ramp = self.slow_start_share(server, now)
-            if ramp < 1:
-                rate = self.peak_rate * server.weight * ramp * share
-                server.slow_start_tokens = min(1.0 + rate * CONTROL_STEP, server.slow_start_tokens + rate * span)
+            share = self.slow_start_share(server, now)
+            if share < 1:
+                rate = self.peak_rate * server.weight * share * budget_multiple
+                server.slow_start_tokens = min(
+                    1.0 + rate * CONTROL_STEP, server.slow_start_tokens + rate * elapsed
+                )
 
     @property
     def mean_weight(self) -> float:
+        """Mean weight of the pool, which must not be empty."""
         return sum(server.weight for server in self.pool) / len(self.pool)
 
     def usable(self, server: Server, now: float) -> bool:
+        """Whether a server's health, connection limit and slow start allow a further attempt now."""
         if server.state is not ServerState.SERVING or server.ejected_until:
             return False
         if server.on_probation and server.in_flight:
@@ -459,123 +533,175 @@
         return server.slow_start_tokens >= 1 or self.slow_start_share(server, now) >= 1
 
     def load(self, server: Server, now: float) -> float:
-        """Calls that a server is taken to hold. What is not known of a server, or known no more, is taken
-        from its zone. Guards against a crowd on servers that look idle because nobody asked them, where calls
-        and so reports are few. Harm: one busy server makes its unasked neighbours look busy too."""
-        fade = 2 * self.mean_latency + CONTROL_STEP
+        """Estimated number of calls on a server. What is unknown or outdated is taken from its zone's mean.
+
+        Where calls are few, load reports are few too, and servers that were not probed would look idle and
+        get crowded. The cost: one busy server makes its unprobed neighbours look busy too.
+        """
+        report_decay_time = 2 * self.mean_latency + CONTROL_STEP
         zone = self.zone_load.get(server.zone)
-        usual = server.smoothed_load
+        smoothed_load = server.smoothed_load
         if zone is not None:
-            age = server.reported_at - now
-            usual = zone.value * server.weight
-            usual += (server.smoothed_load - usual) * math.exp(age / (SMOOTHED_LOAD_DECAY_RATIO * fade))
-        load = usual + server.net_sends_since_report
-        if server.reported_load != usual:
-            load += (server.reported_load - usual) * math.exp((server.reported_at - now) / fade)
+            negative_age = server.reported_at - now
+            smoothed_load = zone.value * server.weight
+            smoothed_load += (server.smoothed_load - smoothed_load) * math.exp(
+                negative_age / (SMOOTHED_LOAD_DECAY_RATIO * report_decay_time)
+            )
+        load = smoothed_load + server.net_sends_since_report
+        if server.reported_load != smoothed_load:
+            load += (server.reported_load - smoothed_load) * math.exp(
+                (server.reported_at - now) / report_decay_time
+            )
         return max(load, server.in_flight)
 
     def record_failure_share(self, server: Server, cls: Kind, failed: bool, now: float) -> None:
+        """Updates the share of a class's calls that a server fails with the newest answer."""
         share = self.failure_share(server, cls, now)
         server.failure_shares[cls.name] = share + (failed - share) * FAILURE_SHARE_WEIGHT, now
 
     def failure_share(self, server: Server, cls: Kind, now: float) -> float:
+        """Share of a class's calls that a server fails; it decays while there are no answers."""
         share, at = server.failure_shares.get(cls.name, (0.0, now))
         return share * math.exp((at - now) / FAILURE_SHARE_DECAY_TIME)
 
     def pool_failure_share(self, cls: Kind, now: float) -> float:
-        """What the pool fails of a class. A server that fails more may serve other classes well, and so looks
-        idle and quick. Guards against servers that turn away or fail one kind of request (a bad version, a
-        limit or a store of its own that is down), at once or slowly. Harm: under overload chance makes some
-        servers look worse; what all fail counts against none."""
+        """Mean share of a class's calls that the servers of the pool fail; what all fail counts against none.
+
+        A server that rejects or fails one kind of request (a bad version, a limit, a data store of its own
+        that is down), at once or slowly, may serve other classes well and so look idle and fast. Its excess
+        over this mean keeps calls of that class away. The cost: under overload chance makes some servers
+        look worse.
+        """
         return sum(self.failure_share(server, cls, now) for server in self.pool) / max(1, len(self.pool))
 
-    def pick(self, call: Call, gate: SafetyRules, now: float) -> tuple[Server, float] | None:
+    def pick(self, call: Call, safety_rules: SafetyRules, now: float) -> tuple[Server, float] | None:
+        """Selects the server with the lowest cost that may take an attempt of the call; returns it and its
+        estimated load, or None.
+
+        The cost is the expected latency in mean latencies, plus penalties for crossing zones, opening a
+        connection, trying a server again and failing the call's class. A random 1% breaks ties.
+        """
         best: Server | None = None
         best_cost = best_load = math.inf
         tried = {attempt.server.id for attempt in call.attempts}
-        mean_hint = self.mean_weight if self.pool else 1.0
-        crossing = CROSS_ZONE_COST_FACTOR * self.settings.price_crossing * self.latency_objective / self.mean_latency
-        opening = self.connect_cost
+        mean_weight = self.mean_weight if self.pool else 1.0
+        cross_zone_cost = (
+            CROSS_ZONE_COST_FACTOR * self.settings.price_crossing * self.latency_objective / self.mean_latency
+        )
+        connect_cost = self.connect_cost
         zone = self.settings.zone
-        prior = CAPACITY_PRIOR_SAMPLES * self.mean_load.value / mean_hint
-        usual = self.pool_failure_share(call.cls, now)
+        prior = CAPACITY_PRIOR_SAMPLES * self.mean_load.value / mean_weight
+        pool_failure_share = self.pool_failure_share(call.cls, now)
         for server in self.pool:
             if not self.usable(server, now):
                 continue
             load = self.load(server, now)
-            cost = (load + 1) * (CAPACITY_PRIOR_SAMPLES + server.latency_sum) / (prior * server.weight + server.load_sum)
+            cost = (
+                (load + 1)
+                * (CAPACITY_PRIOR_SAMPLES + server.latency_sum)
+                / (prior * server.weight + server.load_sum)
+            )
             if server.slow_start_from > 0:
                 cost /= self.slow_start_share(server, now)
             if server.zone != zone:
-                cost += crossing
+                cost += cross_zone_cost
             if not server.in_flight and now - server.used_at > self.max_idle_age:
-                cost += opening
+                cost += connect_cost
             if server.id in tried:
                 cost += MAX_LATENCY_RATIO
-            cost += MAX_LATENCY_RATIO * max(0.0, self.failure_share(server, call.cls, now) - usual)
+            cost += MAX_LATENCY_RATIO * max(
+                0.0, self.failure_share(server, call.cls, now) - pool_failure_share
+            )
             cost *= 1 + 0.01 * self.random.random()
-            if cost < best_cost and gate.may_send(call, server, now):
+            if cost < best_cost and safety_rules.may_send(call, server, now):
                 best, best_cost, best_load = server, cost, load
         return (best, best_load) if best is not None else None
 
-    def no_server_left(self, call: Call, gate: SafetyRules, now: float) -> bool:
-        """Whether no server can take a further attempt of a call that may have run any more: none is left of
-        its group, its window is over, or those that are left come back too late. One that never ran may go to
-        any server that is still to come, and waits like a new one."""
-        return gate.first_possible_execution(call) is not None and not any(
-            server.ejected_until < call.useful_until and gate.may_send_ignoring_leases(call, server, now)
+    def no_server_left(self, call: Call, safety_rules: SafetyRules, now: float) -> bool:
+        """Whether no server can take a further attempt of a call that may have run.
+
+        Its group has no server left, its deduplication window is over, or the remaining servers return from
+        ejection too late. A call that never ran may go to any server that is listed later, so it waits like
+        a new one.
+        """
+        return safety_rules.first_possible_execution(call) is not None and not any(
+            server.ejected_until < call.useful_until
+            and safety_rules.may_send_ignoring_leases(call, server, now)
             for server in self.pool
         )
 
     # connections
     def idle_time(self, server: Server, now: float) -> float:
-        """How long the connection to a server has not been used; 0: in use, or there is none."""
+        """Seconds since the connection to a server was used; 0: it is in use, or there is none."""
         age = now - server.used_at
         return 0.0 if server.in_flight or age >= self.settings.conn_idle else age
 
     def has_open_connection(self, server: Server, now: float) -> bool:
+        """Whether a connection to the server is in use or has been used recently enough to be relied on."""
         return server.in_flight > 0 or now - server.used_at <= self.max_idle_age
 
     @property
     def connect_cost(self) -> float:
-        """Mean latencies that a new connection adds, as seen. Guards against slow handshakes, whatever their
-        cause: calls keep to open connections. Harm: they crowd fewer servers, so the cost is only added to
-        the load. Few samples err by a few tenths."""
+        """Mean latencies that a new connection adds, as measured; with few samples it errs by a few tenths.
+
+        Keeps calls on open connections where handshakes are slow, whatever the cause. The cost: fewer servers
+        get more of the calls, so this is only one part of a server's cost besides its load.
+        """
         return max(MIN_CONNECT_COST, self.new_connection_latency.value - self.open_connection_latency.value)
 
     def detect_idle_drop(self, attempt: Attempt, reset: bool) -> bool:
-        """Something between here and the server drops idle connections unseen: what is sent on one is reset
-        at once or never answered. That is the connection's fault: the server stays, and connections as old
-        are closed before they are used. Harm: if the server was at fault after all, it gets one more call,
-        and some good connections are opened anew."""
+        """Whether an attempt failed because its idle connection had been dropped unnoticed on the way.
+
+        An attempt on such a connection is reset at once (`reset`) or never answered. The connection is at
+        fault then: the server stays, and connections of that age are closed before they are used. The cost:
+        a server that was at fault after all gets one more call, and some good connections are opened anew.
+        """
         if attempt.idle_time < MIN_IDLE_AGE or (not reset and attempt.server.last_ok >= attempt.sent_at):
-            return False  # too short a rest, or it was a slow call: the server has answered others since
+            return False  # not idle for long, or just a slow call: the server has answered others since
         self.lower_max_idle_age(attempt.idle_time)
         return True
 
-    def lower_max_idle_age(self, rested: float) -> None:
-        """Where idle connections are ended at some age, a call sent at about that age crosses the end. A
-        close seen at rest tells it at no call's cost; one sooner than IDLE_LEAST is not for lack of use."""
-        if rested >= MIN_IDLE_AGE:
-            self.max_idle_age = max(MIN_IDLE_AGE, min(self.max_idle_age, IDLE_AGE_SAFETY_FACTOR * rested))
+    def lower_max_idle_age(self, idle_time: float) -> None:
+        """Lowers the maximum idle age after a connection was lost that had been idle for `idle_time` seconds.
+
+        Where idle connections are closed at some age, a call sent at about that age meets the close. A close
+        that is seen while no call uses the connection reveals that age at no cost; one sooner than
+        MIN_IDLE_AGE has other causes than idleness.
+        """
+        if idle_time >= MIN_IDLE_AGE:
+            self.max_idle_age = max(MIN_IDLE_AGE, min(self.max_idle_age, IDLE_AGE_SAFETY_FACTOR * idle_time))
 
     def alive(self, server: Server, now: float) -> bool:
-        """One broken connection says nothing of a server that has just answered on others. Guards against
-        resets that strike connections one by one (a network that drops them, a middle box, a worker or a
-        listener that restarts behind the address): taken for deaths they emptied the pool, while all that
-        was sent was answered. A process that died breaks several at once and answers none: it is left at the
-        third. Harm: one that dies with few calls out gets up to two more, which are refused at once."""
-        return now - server.last_answer_at < ALIVE_TIMEOUT and server.connection_failures < DEAD_AFTER_CONNECTION_FAILURES
+        """Whether a server has answered lately, so that a broken connection is no sign of its death.
+
+        Resets may hit connections one by one (a network that drops them, a middlebox, a worker or listener
+        that restarts behind the address). Taken for dead servers, they emptied the pool although every call
+        was answered. A process that died breaks several connections and answers none: it counts as dead at
+        the third. The cost: one that dies with few calls in flight gets up to two more, which are refused at
+        once.
+        """
+        return (
+            now - server.last_answer_at < ALIVE_TIMEOUT
+            and server.connection_failures < DEAD_AFTER_CONNECTION_FAILURES
+        )
 
     # health
     def record_answer(self, server: Server, now: float) -> None:
+        """Records that a server answered a call or a probe, whatever it said."""
         server.last_answer_at, server.connection_failures = now, 0
 
     def eject(self, server: Server, now: float, hard: bool) -> bool:
+        """Takes a server out of use for a while, longer each time; returns whether it did.
+
+        `hard`: there is firm evidence that the server is down; otherwise at most MAX_EJECTION_SHARE of the
+        pool is ejected.
+        """
         if server.ejected_until:
             return False
-        # When everything is slow, no server is at fault.
-        if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > MAX_EJECTION_SHARE * len(self.pool):
+        # When everything is slow, no single server is at fault.
+        if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > MAX_EJECTION_SHARE * len(
+            self.pool
+        ):
             return False
         length = min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**server.ejections)
         server.ejections += 1
@@ -584,6 +710,7 @@
         return True
 
     def readmit(self, server: Server, now: float) -> None:
+        """Ends an ejection: the server is used again, on probation."""
         server.ejected_until = 0.0
         server.on_probation = True
         server.error_share = 0.0
@@ -591,13 +718,16 @@
         server.net_sends_since_report = server.in_flight
 
     def record_report(self, server: Server, report: dict[str, float] | None, now: float) -> None:
-        figure = report.get("busy_reqs") if report else None
-        if figure is None or not 0 <= figure < math.inf:
+        """Takes over a load report; one without a finite `busy_reqs` of at least 0 is ignored."""
+        reported_load = report.get("busy_reqs") if report else None
+        if reported_load is None or not 0 <= reported_load < math.inf:
             return
-        server.smoothed_load += (figure - server.smoothed_load) * (0.3 if server.reported_at > 0 else 1.0)
-        server.reported_load = figure
-        zone = self.zone_load.setdefault(server.zone, Mean(0.0))
-        zone.add(figure / server.weight, ZONE_LOAD_SAMPLES)
+        server.smoothed_load += (reported_load - server.smoothed_load) * (
+            0.3 if server.reported_at > 0 else 1.0
+        )
+        server.reported_load = reported_load
+        zone_load = self.zone_load.setdefault(server.zone, Mean(0.0))
+        zone_load.add(reported_load / server.weight, ZONE_LOAD_SAMPLES)
         server.reported_at = now
         server.net_sends_since_report = 0
 
