--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -92,14 +92,16 @@
 HEDGE_WORK_BURST = 5.0  # work of mean calls that may be spent on hedges at once
 # work of mean calls that one hedge is charged at most: the mean may be a guess or come from light calls
 MAX_HEDGE_WORK = 20.0
-# mean latencies of useful time that a hedge needs; until no more is left, the first attempt may be answered
+# mean latencies of useful time that a hedge needs; a stuck call is hedged once no more than that is left, since
+# until then its first attempt may still be answered
 HEDGE_TIME_LEFT = 3.0
 BASE_EJECTION_TIME = 0.5  # s, the first ejection; it doubles each time, up to MAX_EJECTION_TIME
 MAX_EJECTION_TIME = 8.0  # s
 # share of the pool that soft evidence may eject: if more servers look unhealthy, the cause lies elsewhere
 MAX_EJECTION_SHARE = 0.34
 ALIVE_TIMEOUT = 1.0  # s since its last answer, of any kind, within which a server counts as alive
-# connections broken or refused since its last answer after which a server counts as dead all the same
+# connections broken or refused since its last answer after which a server counts as dead, however recent the
+# answer
 DEAD_AFTER_CONNECTION_FAILURES = 3
 # failed connects since the last good one after which a live server counts as being at its connection limit
 FULL_AFTER_CONNECT_FAILURES = 2
@@ -207,7 +209,7 @@
 
 
 class SafetyRules:
-    """Checks every attempt and every final answer before it leaves, whatever the heuristics ask for.
+    """Checks and issues every attempt and every final answer, whatever the heuristics ask for.
 
     The rules cover repeated execution, deadlines, drained servers, the number of attempts and the leases on
     the list and its servers.
@@ -442,11 +444,11 @@
         self.rebuild_pool(now)
 
     def rebuild_pool(self, now: float) -> None:
-        """Selects the servers to use; the pool is bounded, so that probes and connections don't grow as
-        instances x servers.
+        """Selects the servers that this instance uses.
 
-        Each zone's servers form a ring. Instances start at positions spread evenly by their number and take
-        ejected servers last.
+        The pool is bounded, so that probes and connections do not grow as instances x servers. Each zone's
+        servers form a ring. Instances start at positions spread evenly by their number and take ejected
+        servers last.
         """
         zones: dict[str, list[Server]] = {}
         for id in sorted(self.known):
@@ -575,8 +577,7 @@
         return sum(self.failure_share(server, cls, now) for server in self.pool) / max(1, len(self.pool))
 
     def pick(self, call: Call, safety_rules: SafetyRules, now: float) -> tuple[Server, float] | None:
-        """Selects the server with the lowest cost that may take an attempt of the call; returns it and its
-        estimated load, or None.
+        """Returns the cheapest server that may take an attempt of the call, with its load, or None.
 
         The cost is the expected latency in mean latencies, plus penalties for crossing zones, opening a
         connection, trying a server again and failing the call's class. A random 1% breaks ties.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: the tests that KNOWN-RED.txt lists have to fail; each is named at the end of a run."""
+"""Known failures: tests that are listed in KNOWN-RED.txt must fail, and are reported at the end of a run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def known_failures() -> dict[str, str]:
-    """The cause of each listed test, by its node id; a line is `test, cause, issue`."""
+    """Maps the node id of each listed test to its cause; each line is `test, cause, issue`."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text(encoding="utf-8").splitlines() if line.strip()]
@@ -19,14 +19,16 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
+    """Marks the listed tests as expected failures."""
     listed = known_failures()
     for item in items:
         cause = listed.get(item.nodeid)
         if cause is not None:
-            # One that passes by now has to come off the list, so that also fails the run.
+            # Strict: a listed test that passes fails the run, as it must be taken off the list.
             item.add_marker(pytest.mark.xfail(reason=cause, strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
+    """Prints the known failures of the run."""
     for report in terminalreporter.stats.get("xfailed", []):
         terminalreporter.write_line(f"known failure: {report.nodeid}, {report.wasxfail}")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests."""
+"""Builders and a driver shared by the tests of the Balancer."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 
 
 def settings(**changes: Any) -> Settings:
+    """Settings for the tests, with the given fields changed."""
     values: dict[str, Any] = {
         "classes": CLASSES,
         "zone": "a",
@@ -46,11 +47,12 @@
 
 
 def entries(*servers: int, zone: str = "a", **changes: Any) -> list[ServerEntry]:
+    """List entries of servers in one zone; odd and even ids are in different cells."""
     return [ServerEntry(server, zone=zone, cell=server % 2, **changes) for server in servers]
 
 
 class Driver:
-    """Feeds a Balancer and keeps what it said; a step of the clock delivers the timers that are due."""
+    """Drives a Balancer on a simulated clock, and keeps all its actions. Timers fire as the clock advances."""
 
     def __init__(self, setup: Settings, seed: int = 1, servers: list[ServerEntry] | None = None) -> None:
         self.balancer = Balancer(setup, seed)
@@ -61,6 +63,7 @@
         self.feed(ServerList(ListKind.SAVED, listed))
 
     def feed(self, *events: Event) -> list[Action]:
+        """Delivers one batch of events now; returns the actions."""
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, SetTimer):
@@ -69,6 +72,7 @@
         return actions
 
     def wait(self, span: float) -> list[Action]:
+        """Advances the clock by `span` seconds, firing the timers that are due; returns all actions."""
         end = self.now + span
         actions: list[Action] = []
         while self.timers and min(self.timers)[0] <= end:
@@ -80,23 +84,28 @@
         return actions
 
     def arrive(self, call: int, cls: str = "safe", budget: float = 2.0, **fields: Any) -> list[Action]:
+        """Delivers the arrival of a call."""
         return self.feed(Arrival(call, cls, budget, **fields))
 
     def finish(
         self, send: Send, status: Status, attempt: int = 0, elapsed: float = 0.05, final: bool | None = None
     ) -> list[Action]:
+        """Delivers the outcome of an attempt; `final` None: only a successful one ends the call."""
         ended = status is Status.OK if final is None else final
         return self.feed(Outcome(send.call, attempt, send.server, status, elapsed, ended))
 
 
 def sends(actions: list[Action], call: int | None = None) -> list[Send]:
+    """The attempts among the actions; `call` None: of all calls."""
     return [a for a in actions if isinstance(a, Send) and call in (None, a.call)]
 
 
 def only_send(actions: list[Action]) -> Send:
+    """The only attempt among the actions. Raises ValueError if there is not exactly one."""
     (send,) = sends(actions)
     return send
 
 
-def drained(server: int, state: ServerState) -> ServerList:
+def state_update(server: int, state: ServerState) -> ServerList:
+    """An incremental list that sets the state of one server."""
     return ServerList(ListKind.INCREMENTAL, entries(server, state=state))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import ONCE, SAFE, ZONED, Driver, drained, entries, only_send, sends, settings
+from helpers import ONCE, SAFE, ZONED, Driver, state_update, entries, only_send, sends, settings
 
 from granitepoint import (
     Action,
@@ -358,7 +358,7 @@
     driver = Driver(settings(), servers=[*entries(1), *entries(2, zone="b")])
     send = only_send(driver.arrive(1, "zoned"))
     if way == "drained":
-        driver.feed(drained(send.server, ServerState.DRAINING))
+        driver.feed(state_update(send.server, ServerState.DRAINING))
     elif way == "window over":
         driver.wait(ZONED.window + 0.1)
     else:
@@ -446,7 +446,7 @@
 
 def test_a_call_on_an_ejected_server_is_done_anew_at_once() -> None:
     driver = warmed()
-    driver.feed(drained(4, ServerState.GONE))
+    driver.feed(state_update(4, ServerState.GONE))
     sent = [only_send(driver.arrive(call)) for call in range(1, 5)]  # one of three servers has two
     (hung,) = {send.server for send in sent if [each.server for each in sent].count(send.server) > 1}
     for send in sent:
