--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -119,7 +119,7 @@
         Entry("cold budget, first", _rounded(first), "parts", "of the server's part of the peak rate"),
         Entry("cold budget, last", _rounded(last), "parts", "the same when it is almost warm"),
         Entry("a server's part", _rounded(mean), "share", "of the calls, at the mean weight of those used"),
-        Entry("ejected for", logic.BASE_EJECTION_TIME, SECONDS, f"then doubled, up to {logic.MAX_EJECTION_TIME:g} s"),
+        Entry("ejected for", logic.BASE_EJECTION, SECONDS, f"then doubled, up to {logic.MAX_EJECTION:g} s"),
     ])  # fmt: skip
 
 
@@ -132,7 +132,7 @@
         Entry("at the start", logic.INITIAL_PROBES, "probes", "at most, over all zones"),
         Entry("per request", logic.PROBES_PER_CALL, "probes", "of the steady ones"),
         Entry("least", logic.MIN_PROBE_RATE, PER_SECOND, "also when idle"),
-        Entry("for one call", logic.PRE_SEND_PROBE_COUNT if balancer.asks else 0, "servers", "asked before it; 0: too dear"),
+        Entry("for one call", logic.PRE_SEND_PROBES if balancer.asks else 0, "servers", "asked before it; 0: too dear"),
         Entry("timeout", driver.PROBE_TIMEOUT, SECONDS, "after which a probe has failed"),
         Entry("at once", driver.MOST_PROBES, "probes", "at most"),
     ])  # fmt: skip
@@ -143,7 +143,7 @@
     entries = [Entry("address", "{}:{}".format(*config.discovery), "", "may change on SIGHUP")]
     if settings.ask_for_list:
         instances = settings.balancers * settings.stages
-        first = min(logic.MAX_FIRST_WATCH_DELAY, logic.FIRST_WATCH_DELAY_PER_INSTANCE * instances, settings.must_ask_within / 4)
+        first = min(logic.MAX_START_DELAY, logic.START_DELAY_PER_INSTANCE * instances, settings.must_ask_within / 4)
         longest = min(backoff.LONGEST_PAUSE, logic.WATCH_PAUSE_FACTOR * settings.must_ask_within)
         growing = f"at most, after a call that waited in vain; growing with each, up to {longest:g} s"
         entries += [
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -1,11 +1,7 @@
 """The balancer's decision logic. Its inputs and outputs are defined in granitepoint/interface.py.
 
-Order of the file: tunables, safety rules, servers and server selection, then the Balancer with its queue.
-Admission control is in granitepoint/admission.py; leases, health checks and backoff towards discovery are in
-granitepoint/membership.
-
-All times are in seconds. The module does no I/O, reads no clock and changes no globals; randomness comes from
-a seeded generator of its own.
+Order of the file: tunables, safety rules, servers and server selection, the Balancer with its queue.
+All times are in seconds. No I/O, no clock, no mutable globals; randomness comes from a seeded generator.
 """
 
 from __future__ import annotations
@@ -57,79 +53,62 @@
 from granitepoint.membership.list_lease import ListLease
 
 # -- tunables ------------------------------------------------------------------------------------------
-CONTROL_STEP = 0.05  # s between control steps: even the shortest calls worth steering span several
+TICK = 0.05  # s between control steps: even the shortest calls worth steering span several
 MAX_ENDED_CALL_IDS = 1000  # ids of ended calls that are kept, to recognise repeated arrivals
-# s between two batches above which measured times include a pause of this instance itself
-STALL_THRESHOLD = 4 * CONTROL_STEP
-ANSWER_MARGIN = 2 * CONTROL_STEP  # s before the client's deadline by which a queued call is answered
+STALL_THRESHOLD = 4 * TICK  # s between batches above which measured times include this instance's own pause
+ANSWER_MARGIN = 2 * TICK  # s before the client's deadline by which a queued call is answered
 MIN_LATENCY = 1e-4  # s, lower bound of a measured latency, so that means stay above 0
 MAX_LOCAL_POOL_SIZE = 10  # servers of its own zone that an instance uses
 MAX_POOL_SIZE = 16  # servers that an instance uses in all zones
-CAPACITY_PRIOR_SAMPLES = 8.0  # samples that the prior estimate of a server's capacity counts as
+PRIOR_COUNT = 8.0  # samples that the prior estimate of a server's capacity counts as
 CAPACITY_SAMPLE_DECAY = 0.9  # factor applied to a server's older samples at each new one
-# s, time constant at which the samples decay without new ones, so that a slow server is tried again
-CAPACITY_DECAY_TIME = 30.0
+CAPACITY_DECAY_TIME = 30.0  # s, time constant of samples without new ones: a slow server is tried again
 PROBES_PER_CALL = 0.05  # probes per arriving call; each request makes several calls
 MIN_PROBE_RATE = 0.3  # probes per s, so that an idle instance still has load reports of its servers
 MAX_LEASE_PROBE_DEBT = 5.0  # regular probes that health checks for leases may use up in advance
-# Probes at the start, over all zones: without load reports, a new instance adds its calls to servers that
-# are already crowded.
-INITIAL_PROBES = 8.0
-MAX_PRE_SEND_PROBE_PRICE = 0.006  # points per call: highest price of the probes sent for that call alone
-PRE_SEND_PROBE_COUNT = 3  # servers probed for one call; more than three current reports gain little
-PRE_SEND_PROBE_WAIT = 0.01  # s that a call waits for the answers to these probes
+INITIAL_PROBES = 8.0  # probes at the start, over all zones: without reports an instance follows the crowd
+MAX_PRE_SEND_PRICE = 0.006  # points per call: highest price of the probes sent for that call alone
+PRE_SEND_PROBES = 3  # servers probed for one call; more than three current reports gain little
+PRE_SEND_WAIT = 0.01  # s that a call waits for the answers to these probes
 MAX_REPORT_DELAY = 0.5  # s by which a load report may lag behind: servers refresh it periodically
-SMOOTHED_LOAD_DECAY_RATIO = 10.0  # decay time of a server's smoothed load over that of its last report
+LOAD_DECAY_RATIO = 10.0  # decay time of a server's smoothed load over that of its last report
 ZONE_LOAD_SAMPLES = 10  # reports in a zone's mean load: a few seconds of probes at one call per second
-CROSS_ZONE_COST_FACTOR = 3.0  # latency objectives that a full cross-zone price counts as in a server's cost
-# mean latencies that should remain when a queued call's turn comes: latencies have a long tail
-QUEUE_TAIL_ALLOWANCE = 2.0
+CROSSING_FACTOR = 3.0  # latency objectives that a full price of crossing zones counts as in a server's cost
+TAIL_ALLOWANCE = 2.0  # mean latencies that a queued call needs when its turn comes, for long tails
 RETRY_RATIO = 0.15  # further attempts per arriving call: a budget stops amplification across the tiers
 RETRY_BURST = 5.0  # further attempts that may be sent at once
 NEVER_RAN_RETRY_COST = 0.25  # further attempts that one after an attempt that never ran counts as
 HEDGE_AGE = 4.0  # mean latencies after which an attempt counts as stuck
-HEDGE_WORK_RATIO = 0.15  # work of mean calls, per arriving call, that all tiers together may spend on hedges
-HEDGE_WORK_BURST = 5.0  # work of mean calls that may be spent on hedges at once
-# work of mean calls that one hedge is charged at most: the mean may be a guess or come from light calls
-MAX_HEDGE_WORK = 20.0
-# mean latencies of useful time that a hedge needs; a stuck call is hedged once no more than that is left, since
-# until then its first attempt may still be answered
-HEDGE_TIME_LEFT = 3.0
-BASE_EJECTION_TIME = 0.5  # s, the first ejection; it doubles each time, up to MAX_EJECTION_TIME
-MAX_EJECTION_TIME = 8.0  # s
-# share of the pool that soft evidence may eject: if more servers look unhealthy, the cause lies elsewhere
-MAX_EJECTION_SHARE = 0.34
+HEDGE_RATIO = 0.15  # work of mean calls, per arriving call, that all tiers together may spend on hedges
+HEDGE_BURST = 5.0  # work of mean calls that may be spent on hedges at once
+MAX_HEDGE_WORK = 20.0  # work of mean calls charged for a hedge: the mean may be a guess or of light calls
+HEDGE_TIME_LEFT = 3.0  # mean latencies that a hedge needs; before, the first attempt may be answered
+BASE_EJECTION = 0.5  # s, the first ejection; it doubles each time, up to MAX_EJECTION
+MAX_EJECTION = 8.0  # s
+MAX_EJECTED_SHARE = 0.34  # of the pool, on soft evidence: if more look unhealthy, the cause lies elsewhere
 ALIVE_TIMEOUT = 1.0  # s since its last answer, of any kind, within which a server counts as alive
-# connections broken or refused since its last answer after which a server counts as dead, however recent the
-# answer
-DEAD_AFTER_CONNECTION_FAILURES = 3
-# failed connects since the last good one after which a live server counts as being at its connection limit
-FULL_AFTER_CONNECT_FAILURES = 2
-CONNECTION_LIMIT_TIME = 5.0  # s for which a server at its connection limit gets no further connection
+DEAD_AFTER_FAILURES = 3  # connections broken or refused since that answer, after which it counts as dead
+FULL_AFTER_CONNECT_FAILURES = 2  # since a good connect, after which a live server is at its connection limit
+AT_LIMIT_TIME = 5.0  # s for which a server at its connection limit gets no further connection
 ERROR_EXCESS = 0.35  # error share above the pool's from which a server is at fault
 FAILURE_SHARE_WEIGHT = 0.3  # weight of the newest answer in the share of a class's calls that a server fails
-# s, time constant at which such a share decays, so that the server is tried again
-FAILURE_SHARE_DECAY_TIME = 5.0
-# share of the allowed multiple of a cold server's capacity that all instances together may use
-COLD_BUDGET_SHARE = 0.5
-# s, decay time of an instance's highest send rate per unit of weight: long compared with a slow start
-PEAK_RATE_DECAY_TIME = 60.0
-# s over which instances spread a new watch when servers contradict the list, which all of them see at once
-STALE_LIST_JITTER = 2.0
+FAILURE_SHARE_DECAY_TIME = 5.0  # s, time constant of that share, so that the server is tried again
+COLD_BUDGET_SHARE = 0.5  # of the allowed multiple of a cold server's capacity, for all instances together
+PEAK_RATE_DECAY_TIME = 60.0  # s, of the highest send rate per unit of weight: long against a slow start
+STALE_LIST_JITTER = 2.0  # s over which watches are renewed if servers contradict the list: all see it at once
 STALE_LIST_INTERVAL = 8.0  # s after a watch or a list in which an instance does not suspect a stale list
 MIN_IDLE_AGE = 0.2  # s; the loss of a connection that was used within it has other causes than idleness
-IDLE_AGE_SAFETY_FACTOR = 0.7  # share of the age at which an idle connection was lost that is still used
-IDLE_AGE_DOUBLING_TIME = 15.0  # s in which the maximum idle age doubles again
-# mean latencies that a new connection adds, above which an old idle one is used in spite of the risk
-HIGH_CONNECT_COST = 1.5
+IDLE_SAFETY_FACTOR = 0.7  # share of the age at which an idle connection was lost that is still used
+IDLE_DOUBLING = 15.0  # s in which the maximum idle age doubles again
+HIGH_CONNECT_COST = 1.5  # mean latencies for a new connection, above which an old idle one is risked instead
 MIN_CONNECT_COST = 0.3  # mean latencies by which a server with an open connection is preferred at least
 CONNECT_COST_SAMPLES = 30  # attempts over which new and open connections are compared
 LIST_WAIT_SHARE = 0.4  # share of a call's time for which it waits for a list with a valid lease
-MAX_FIRST_WATCH_DELAY = 2.0  # s, longest period over which all instances spread their first watch
-FIRST_WATCH_DELAY_PER_INSTANCE = 0.02  # s of that period for each instance of each tier
+MAX_START_DELAY = 2.0  # s, longest period over which all instances spread their first watch
+START_DELAY_PER_INSTANCE = 0.02  # s of that period for each instance of each tier
 WATCH_PAUSE_FACTOR = 4.0  # longest pause after a failed watch, in multiples of Settings.must_ask_within
-RETRY_ADVICE_FACTOR = 0.25  # latency estimates that a refused client is advised to wait
-TICK_TOKEN, PRE_SEND_PROBE_TOKEN = 1, 2
+ADVICE_FACTOR = 0.25  # latency estimates that a refused client is advised to wait
+TICK_TOKEN, PRE_SEND_TOKEN = 1, 2
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949  # its multiples modulo 1 are evenly spread, for any count
 MAX_LATENCY_RATIO = 8.0  # most mean latencies that an attempt counts as; a failed one counts as that many
 
@@ -142,12 +121,12 @@
         "call",
         "cell",
         "charged_to_server",
-        "counts_toward_limit",
+        "has_slot",
         "hedged",
         "idle_time",
         "load",
-        "new_connection",
         "number",
+        "opened",
         "over_target",
         "sent_at",
         "server",
@@ -161,14 +140,13 @@
         self.call, self.number, self.server, self.sent_at, self.load = call, number, server, sent_at, load
         self.zone, self.cell = server.zone, server.cell  # copied: a later list may move the server
         self.status = -1  # in flight; later a Status
-        self.counts_toward_limit = True  # takes up a part of the concurrency limit
+        self.has_slot = True  # counts toward the concurrency limit
         self.over_target = False  # has been reported to admission control as late
         self.idle_time = 0.0  # s for which the connection had not been used; 0: in use or new
-        self.new_connection = False  # the connection was opened for this attempt
+        self.opened = False  # the connection was opened for this attempt
         self.charged_to_server = False  # has been counted against its server
         self.hedged = False
-        # Its server has answered later attempts, or does not report it: the connection is at fault.
-        self.stalled_connection = False
+        self.stalled_connection = False  # long overtaken: its connection is at fault, not its server
 
 
 class Call:
@@ -182,7 +160,7 @@
         "ended",
         "id",
         "in_flight",
-        "probe_wait_until",
+        "probe_end",
         "probed_candidates",
         "queued",
         "sort_key",
@@ -202,25 +180,21 @@
         self.in_flight = 0  # attempts without an outcome
         self.ended = self.streaming = self.queued = False
         self.probed_candidates: list[Server] | None = None  # servers probed for this call alone
-        self.probe_wait_until = 0.0
+        self.probe_end = 0.0  # until when the call waits for their answers
 
     def __lt__(self, other: Call) -> bool:
         return self.sort_key < other.sort_key
 
 
 class SafetyRules:
-    """Checks and issues every attempt and every final answer, whatever the heuristics ask for.
-
-    The rules cover repeated execution, deadlines, drained servers, the number of attempts and the leases on
-    the list and its servers.
-    """
+    """Checks and issues every attempt and every final answer, whatever the heuristics ask for: repeated
+    execution, deadlines, drained servers, and leases on the list and its servers."""
 
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
-        """`actions`: the list that sends and answers are appended to."""
         self.settings = settings
         self.list_lease = ListLease(settings.told_after)
         self.health_leases = HealthLeases(confirmed=not settings.ask_for_list, checkable=settings.may_probe)
-        self.actions = actions
+        self.actions = actions  # sends and answers are appended to it
         self.calls: dict[int, Call] = {}
         self.ended_ids: dict[int, None] = {}  # ids of the latest ended calls, oldest first
 
@@ -235,9 +209,9 @@
     def may_send(self, call: Call, server: Server, now: float) -> bool:
         """Whether an attempt of the call may go to the server now."""
         leased = self.list_lease.valid(now) and self.health_leases.valid(server, now)
-        return leased and self.may_send_ignoring_leases(call, server, now)
+        return leased and self.may_send_if_leased(call, server, now)
 
-    def may_send_ignoring_leases(self, call: Call, server: Server, now: float) -> bool:
+    def may_send_if_leased(self, call: Call, server: Server, now: float) -> bool:
         """Like `may_send`, without the leases, which a list or a health check may renew at any moment."""
         if call.streaming or now >= call.deadline or server.state is not ServerState.SERVING:
             return False
@@ -251,11 +225,8 @@
         return self.same_group(call.cls, first, server) and self.dedup_time_left(call, now) > 0
 
     def dedup_time_left(self, call: Call, now: float) -> float:
-        """Seconds for which servers still drop a further attempt as a duplicate of one that may have run.
-
-        Counted from the decision to send that one, which is slightly before it was sent. Infinite where no
-        attempt may have run or the class does not rely on deduplication.
-        """
+        """Seconds for which servers still drop a further attempt as a duplicate of one that may have run. It
+        counts from the decision to send that one, slightly before it was sent."""
         first = self.first_possible_execution(call)
         if first is None or call.cls.effect is not Effect.BY_KEY:
             return math.inf
@@ -284,34 +255,23 @@
         return call.cls.effect is not Effect.ONCE or self.first_possible_execution(call) is None
 
     def send(
-        self,
-        call: Call,
-        server: Server,
-        now: float,
-        timeout: float,
-        load: float,
-        max_idle_age: float = math.inf,
+        self, call: Call, server: Server, now: float, timeout: float, load: float, max_idle: float = math.inf
     ) -> Attempt | None:
-        """Sends an attempt, or returns None where the rules forbid it.
-
-        `timeout` (s) is cut to the call's deadline. A connection that has been idle for more than
-        `max_idle_age` (s) is not used.
-        """
+        """Sends an attempt, or returns None where the rules forbid it. `timeout` (s) is cut to the deadline;
+        connections that have been idle for more than `max_idle` (s) are not used."""
         if not self.may_send(call, server, now):
             return None
         dedup_time_left = self.dedup_time_left(call, now)
         attempt = Attempt(call, len(call.attempts), server, now, load)
         call.attempts.append(attempt)
         call.in_flight += 1
-        attempt_timeout = max(CONTROL_STEP / 10, min(timeout, call.deadline - now))
-        self.actions.append(Send(call.id, server.id, attempt_timeout, max_idle_age, dedup_time_left))
+        attempt_timeout = max(TICK / 10, min(timeout, call.deadline - now))
+        self.actions.append(Send(call.id, server.id, attempt_timeout, max_idle, dedup_time_left))
         return attempt
 
     def answer(self, call: Call, retry_after: float = 0.0) -> None:
-        """Gives the final answer: a refusal where a further try is harmless, else a failure.
-
-        `retry_after`: seconds that a refused client is advised to wait; 0: no advice.
-        """
+        """Gives the final answer: a refusal where a further try is harmless, else a failure. `retry_after`:
+        seconds that a refused client is advised to wait; 0: no advice."""
         if call.ended:
             return
         if self.may_refuse(call):
@@ -379,7 +339,7 @@
     def reset_statistics(self) -> None:
         """Discards what was learned, for a new or restarted process."""
         self.last_answer_at = -math.inf  # to a call or a probe, whatever it said
-        self.connection_failures = 0  # connections broken or refused since that answer
+        self.broken_connections = 0  # connections broken or refused since that answer
         self.newest_served_sent_at = -math.inf  # when the newest of the calls that it has served was sent
         self.load_sum = self.latency_sum = 0.0  # decaying sums over the capacity samples
         self.error_share = 0.0  # moving average
@@ -390,7 +350,7 @@
         self.slow_streak = 0  # stuck or timed-out attempts in a row
         self.used_at = -math.inf  # the last send or answer
         self.checked_at = -math.inf  # when the last health check that it passed was sent
-        self.max_in_flight, self.max_in_flight_until = 0, 0.0  # applies while it is at its connection limit
+        self.call_limit, self.call_limit_until = 0, 0.0  # applies while it is at its connection limit
         self.connect_failures = 0  # failed connects since the last one that served
         self.failed_probe_streak = 0
 
@@ -409,10 +369,9 @@
         self.send_rate = self.peak_rate = 0.0  # attempts per s; their peak per s and unit of weight
         self.pool_weight = 0.0  # weight of the pool, smoothed
         self.mean_latency = 0.1  # s, of a call
-        self.latency_objective = max(cls.aim for cls in settings.classes)
+        self.latency_objective = max(cls.aim for cls in settings.classes)  # s
         self.max_idle_age = settings.conn_idle  # s without use after which a connection is not relied on
-        # Mean latencies that a call takes on an open and on a new connection.
-        self.open_connection_latency, self.new_connection_latency = Mean(1.0), Mean(1.0)
+        self.open_latency, self.new_latency = Mean(1.0), Mean(1.0)  # by connection, in mean latencies
 
     def apply_list(self, event: ServerList, now: float) -> None:
         """Updates the known servers and the pool from a list; a failed one changes nothing."""
@@ -444,12 +403,8 @@
         self.rebuild_pool(now)
 
     def rebuild_pool(self, now: float) -> None:
-        """Selects the servers that this instance uses.
-
-        The pool is bounded, so that probes and connections do not grow as instances x servers. Each zone's
-        servers form a ring. Instances start at positions spread evenly by their number and take ejected
-        servers last.
-        """
+        """Selects a bounded pool, so that probes and connections do not grow as instances x servers. Each
+        zone's servers form a ring; instances start at positions spread evenly by their number."""
         zones: dict[str, list[Server]] = {}
         for id in sorted(self.known):
             server = self.known[id]
@@ -475,13 +430,10 @@
             index += 1
         self.pool = pool
 
-    def decay_capacity(self, elapsed: float) -> None:
-        """Lets all capacity samples decay by `elapsed` seconds.
-
-        Otherwise a few slow answers, whatever their cause, would keep a server without calls for good, as no
-        new samples come without calls. The cost: a slow server gets a call now and then.
-        """
-        factor = math.exp(-elapsed / CAPACITY_DECAY_TIME)
+    def decay_capacity(self, span: float) -> None:
+        """Lets the capacity samples decay over `span` s. Otherwise a few slow answers, whatever their cause,
+        would keep a server without calls for good. Cost: a slow server gets a call now and then."""
+        factor = math.exp(-span / CAPACITY_DECAY_TIME)
         for server in self.pool:
             server.load_sum *= factor
             server.latency_sum *= factor
@@ -494,30 +446,23 @@
         initial_share = self.settings.cold_from
         return initial_share + (1 - initial_share) * max(0.0, age) / self.settings.cold_for
 
-    def refill_slow_start_tokens(self, now: float, elapsed: float) -> None:
-        """Refills the tokens of cold servers for `elapsed` seconds.
-
-        A cold server looks idle to every instance at once. Each may send no more than its fair share of the
-        server's present capacity, so that all together stay within the budget of any time window.
-        """
-        total = sum(server.weight for server in self.pool)
-        budget_multiple = COLD_BUDGET_SHARE * self.settings.fall_multiple
-        # Smoothed over the same time as the send rate: when the pool shrinks, the rate that went to many
-        # servers must not count as what the few remaining ones can serve.
-        self.pool_weight += (total - self.pool_weight) * (
-            min(1.0, elapsed / MEMORY) if self.pool_weight else 1.0
-        )
-        # The peak and not the current rate: otherwise few attempts would allow even fewer, and a fleet in a
-        # rolling restart would stay cold.
+    def refill_slow_start_tokens(self, now: float, span: float) -> None:
+        """Refills the tokens of cold servers over `span` s. A cold server looks idle to all instances: each
+        may send no more than its fair share of what the server can serve by now, so that all together stay
+        within the budget of any time window."""
+        size = sum(server.weight for server in self.pool)
+        multiple = COLD_BUDGET_SHARE * self.settings.fall_multiple
+        # Smoothed like the send rate: what went to many servers is no measure of what the few left can serve.
+        self.pool_weight += (size - self.pool_weight) * (min(1.0, span / MEMORY) if self.pool_weight else 1.0)
+        # The peak, not the current rate: otherwise few sends would allow even fewer, and a fleet in a rolling
+        # restart would stay cold.
         current_rate = self.send_rate / self.pool_weight if self.pool_weight else 0.0
-        self.peak_rate = max(current_rate, self.peak_rate * (1 - elapsed / PEAK_RATE_DECAY_TIME))
+        self.peak_rate = max(current_rate, self.peak_rate * (1 - span / PEAK_RATE_DECAY_TIME))
         for server in self.pool:
             share = self.slow_start_share(server, now)
             if share < 1:
-                rate = self.peak_rate * server.weight * share * budget_multiple
-                server.slow_start_tokens = min(
-                    1.0 + rate * CONTROL_STEP, server.slow_start_tokens + rate * elapsed
-                )
+                rate = self.peak_rate * server.weight * share * multiple
+                server.slow_start_tokens = min(1.0 + rate * TICK, server.slow_start_tokens + rate * span)
 
     @property
     def mean_weight(self) -> float:
@@ -530,34 +475,28 @@
             return False
         if server.on_probation and server.in_flight:
             return False
-        if server.in_flight >= server.max_in_flight and now < server.max_in_flight_until:
+        if server.in_flight >= server.call_limit and now < server.call_limit_until:
             return False
         return server.slow_start_tokens >= 1 or self.slow_start_share(server, now) >= 1
 
     def load(self, server: Server, now: float) -> float:
-        """Estimated number of calls on a server. What is unknown or outdated is taken from its zone's mean.
-
-        Where calls are few, load reports are few too, and servers that were not probed would look idle and
-        get crowded. The cost: one busy server makes its unprobed neighbours look busy too.
-        """
-        report_decay_time = 2 * self.mean_latency + CONTROL_STEP
+        """Estimated number of calls on a server. What is unknown or outdated is taken from its zone's mean:
+        where calls and so reports are few, servers that were not probed would look idle and get crowded.
+        Cost: one busy server makes its unprobed neighbours look busy too."""
+        decay_time = 2 * self.mean_latency + TICK
         zone = self.zone_load.get(server.zone)
-        smoothed_load = server.smoothed_load
+        expected = server.smoothed_load
         if zone is not None:
-            negative_age = server.reported_at - now
-            smoothed_load = zone.value * server.weight
-            smoothed_load += (server.smoothed_load - smoothed_load) * math.exp(
-                negative_age / (SMOOTHED_LOAD_DECAY_RATIO * report_decay_time)
-            )
-        load = smoothed_load + server.net_sends_since_report
-        if server.reported_load != smoothed_load:
-            load += (server.reported_load - smoothed_load) * math.exp(
-                (server.reported_at - now) / report_decay_time
-            )
+            age = server.reported_at - now  # negative
+            expected = zone.value * server.weight
+            expected += (server.smoothed_load - expected) * math.exp(age / (LOAD_DECAY_RATIO * decay_time))
+        load = expected + server.net_sends_since_report
+        if server.reported_load != expected:
+            load += (server.reported_load - expected) * math.exp((server.reported_at - now) / decay_time)
         return max(load, server.in_flight)
 
     def record_failure_share(self, server: Server, cls: Kind, failed: bool, now: float) -> None:
-        """Updates the share of a class's calls that a server fails with the newest answer."""
+        """Adds the newest answer to the share of a class's calls that a server fails."""
         share = self.failure_share(server, cls, now)
         server.failure_shares[cls.name] = share + (failed - share) * FAILURE_SHARE_WEIGHT, now
 
@@ -567,67 +506,49 @@
         return share * math.exp((at - now) / FAILURE_SHARE_DECAY_TIME)
 
     def pool_failure_share(self, cls: Kind, now: float) -> float:
-        """Mean share of a class's calls that the servers of the pool fail; what all fail counts against none.
-
-        A server that rejects or fails one kind of request (a bad version, a limit, a data store of its own
-        that is down), at once or slowly, may serve other classes well and so look idle and fast. Its excess
-        over this mean keeps calls of that class away. The cost: under overload chance makes some servers
-        look worse.
-        """
+        """Mean failure share of the pool for a class. A server that rejects or fails one kind of request (bad
+        version, a limit, its own data store down), at once or slowly, may serve other classes well and so
+        look idle and fast: its excess over this mean keeps calls away. What all servers fail counts against
+        none. Cost: under overload, chance makes some servers look worse."""
         return sum(self.failure_share(server, cls, now) for server in self.pool) / max(1, len(self.pool))
 
     def pick(self, call: Call, safety_rules: SafetyRules, now: float) -> tuple[Server, float] | None:
-        """Returns the cheapest server that may take an attempt of the call, with its load, or None.
-
-        The cost is the expected latency in mean latencies, plus penalties for crossing zones, opening a
-        connection, trying a server again and failing the call's class. A random 1% breaks ties.
-        """
+        """The cheapest server that may take an attempt of the call, and its load; None if there is none. The
+        cost is in mean latencies: the expected latency plus penalties."""
         best: Server | None = None
         best_cost = best_load = math.inf
         tried = {attempt.server.id for attempt in call.attempts}
         mean_weight = self.mean_weight if self.pool else 1.0
-        cross_zone_cost = (
-            CROSS_ZONE_COST_FACTOR * self.settings.price_crossing * self.latency_objective / self.mean_latency
-        )
+        crossing = CROSSING_FACTOR * self.settings.price_crossing * self.latency_objective / self.mean_latency
         connect_cost = self.connect_cost
         zone = self.settings.zone
-        prior = CAPACITY_PRIOR_SAMPLES * self.mean_load.value / mean_weight
-        pool_failure_share = self.pool_failure_share(call.cls, now)
+        prior = PRIOR_COUNT * self.mean_load.value / mean_weight
+        pool_share = self.pool_failure_share(call.cls, now)
         for server in self.pool:
             if not self.usable(server, now):
                 continue
             load = self.load(server, now)
-            cost = (
-                (load + 1)
-                * (CAPACITY_PRIOR_SAMPLES + server.latency_sum)
-                / (prior * server.weight + server.load_sum)
-            )
+            cost = (load + 1) * (PRIOR_COUNT + server.latency_sum) / (prior * server.weight + server.load_sum)
             if server.slow_start_from > 0:
                 cost /= self.slow_start_share(server, now)
             if server.zone != zone:
-                cost += cross_zone_cost
+                cost += crossing
             if not server.in_flight and now - server.used_at > self.max_idle_age:
                 cost += connect_cost
             if server.id in tried:
                 cost += MAX_LATENCY_RATIO
-            cost += MAX_LATENCY_RATIO * max(
-                0.0, self.failure_share(server, call.cls, now) - pool_failure_share
-            )
+            cost += MAX_LATENCY_RATIO * max(0.0, self.failure_share(server, call.cls, now) - pool_share)
             cost *= 1 + 0.01 * self.random.random()
             if cost < best_cost and safety_rules.may_send(call, server, now):
                 best, best_cost, best_load = server, cost, load
         return (best, best_load) if best is not None else None
 
     def no_server_left(self, call: Call, safety_rules: SafetyRules, now: float) -> bool:
-        """Whether no server can take a further attempt of a call that may have run.
-
-        Its group has no server left, its deduplication window is over, or the remaining servers return from
-        ejection too late. A call that never ran may go to any server that is listed later, so it waits like
-        a new one.
-        """
+        """Whether no server can take a further attempt of a call that may have run: its group has none left,
+        its deduplication window is over, or the remaining servers return from ejection too late. A call that
+        never ran may go to any server that is listed later, and waits like a new one."""
         return safety_rules.first_possible_execution(call) is not None and not any(
-            server.ejected_until < call.useful_until
-            and safety_rules.may_send_ignoring_leases(call, server, now)
+            server.ejected_until < call.useful_until and safety_rules.may_send_if_leased(call, server, now)
             for server in self.pool
         )
 
@@ -638,73 +559,54 @@
         return 0.0 if server.in_flight or age >= self.settings.conn_idle else age
 
     def has_open_connection(self, server: Server, now: float) -> bool:
-        """Whether a connection to the server is in use or has been used recently enough to be relied on."""
+        """Whether a connection to the server is in use, or was used recently enough to be relied on."""
         return server.in_flight > 0 or now - server.used_at <= self.max_idle_age
 
     @property
     def connect_cost(self) -> float:
         """Mean latencies that a new connection adds, as measured; with few samples it errs by a few tenths.
-
-        Keeps calls on open connections where handshakes are slow, whatever the cause. The cost: fewer servers
-        get more of the calls, so this is only one part of a server's cost besides its load.
-        """
-        return max(MIN_CONNECT_COST, self.new_connection_latency.value - self.open_connection_latency.value)
+        Keeps calls on open connections where handshakes are slow, whatever the cause. Cost: they crowd fewer
+        servers, so it is only added to the cost of the load."""
+        return max(MIN_CONNECT_COST, self.new_latency.value - self.open_latency.value)
 
     def detect_idle_drop(self, attempt: Attempt, reset: bool) -> bool:
-        """Whether an attempt failed because its idle connection had been dropped unnoticed on the way.
-
-        An attempt on such a connection is reset at once (`reset`) or never answered. The connection is at
-        fault then: the server stays, and connections of that age are closed before they are used. The cost:
-        a server that was at fault after all gets one more call, and some good connections are opened anew.
-        """
+        """Whether an attempt failed because its idle connection had been dropped unnoticed on the way, and so
+        was reset at once (`reset`) or never answered. The connection is at fault then: the server stays, and
+        connections of that age are closed before use. Cost: if the server was at fault after all, it gets one
+        more call, and some good connections are opened anew."""
         if attempt.idle_time < MIN_IDLE_AGE or (not reset and attempt.server.last_ok >= attempt.sent_at):
             return False  # not idle for long, or just a slow call: the server has answered others since
         self.lower_max_idle_age(attempt.idle_time)
         return True
 
     def lower_max_idle_age(self, idle_time: float) -> None:
-        """Lowers the maximum idle age after a connection was lost that had been idle for `idle_time` seconds.
-
-        Where idle connections are closed at some age, a call sent at about that age meets the close. A close
-        that is seen while no call uses the connection reveals that age at no cost; one sooner than
-        MIN_IDLE_AGE has other causes than idleness.
-        """
+        """Learns from a connection that was lost after `idle_time` s without use. Where idle connections are
+        closed at some age, a call sent at about that age fails. A close seen while idle reveals the age at no
+        call's cost; one sooner than MIN_IDLE_AGE has other causes than idleness."""
         if idle_time >= MIN_IDLE_AGE:
-            self.max_idle_age = max(MIN_IDLE_AGE, min(self.max_idle_age, IDLE_AGE_SAFETY_FACTOR * idle_time))
+            self.max_idle_age = max(MIN_IDLE_AGE, min(self.max_idle_age, IDLE_SAFETY_FACTOR * idle_time))
 
     def alive(self, server: Server, now: float) -> bool:
-        """Whether a server has answered lately, so that a broken connection is no sign of its death.
-
-        Resets may hit connections one by one (a network that drops them, a middlebox, a worker or listener
-        that restarts behind the address). Taken for dead servers, they emptied the pool although every call
-        was answered. A process that died breaks several connections and answers none: it counts as dead at
-        the third. The cost: one that dies with few calls in flight gets up to two more, which are refused at
-        once.
-        """
-        return (
-            now - server.last_answer_at < ALIVE_TIMEOUT
-            and server.connection_failures < DEAD_AFTER_CONNECTION_FAILURES
-        )
+        """Whether a server has answered so recently that a broken connection is no sign against it. Resets
+        hit connections one by one (a network that drops them, a middlebox, a worker or listener that restarts
+        behind the address): taken for dead servers they emptied the pool, although all that was sent was
+        answered. A process that died breaks several at once and answers none: it is ejected at the third.
+        Cost: one that dies with few calls in flight gets up to two more, which are refused at once."""
+        return now - server.last_answer_at < ALIVE_TIMEOUT and server.broken_connections < DEAD_AFTER_FAILURES
 
     # health
     def record_answer(self, server: Server, now: float) -> None:
-        """Records that a server answered a call or a probe, whatever it said."""
-        server.last_answer_at, server.connection_failures = now, 0
+        """Notes that a server answered a call or a probe, whatever it said."""
+        server.last_answer_at, server.broken_connections = now, 0
 
     def eject(self, server: Server, now: float, hard: bool) -> bool:
-        """Takes a server out of use for a while, longer each time; returns whether it did.
-
-        `hard`: there is firm evidence that the server is down; otherwise at most MAX_EJECTION_SHARE of the
-        pool is ejected.
-        """
+        """Takes a server out of use for a while, unless it is already; `hard`: on firm evidence."""
         if server.ejected_until:
             return False
         # When everything is slow, no single server is at fault.
-        if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > MAX_EJECTION_SHARE * len(
-            self.pool
-        ):
+        if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > MAX_EJECTED_SHARE * len(self.pool):
             return False
-        length = min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**server.ejections)
+        length = min(MAX_EJECTION, BASE_EJECTION * 2**server.ejections)
         server.ejections += 1
         server.ejected_until = now + length * (0.75 + 0.5 * self.random.random())
         server.on_probation = False
@@ -720,15 +622,13 @@
 
     def record_report(self, server: Server, report: dict[str, float] | None, now: float) -> None:
         """Takes over a load report; one without a finite `busy_reqs` of at least 0 is ignored."""
-        reported_load = report.get("busy_reqs") if report else None
-        if reported_load is None or not 0 <= reported_load < math.inf:
+        load = report.get("busy_reqs") if report else None
+        if load is None or not 0 <= load < math.inf:
             return
-        server.smoothed_load += (reported_load - server.smoothed_load) * (
-            0.3 if server.reported_at > 0 else 1.0
-        )
-        server.reported_load = reported_load
-        zone_load = self.zone_load.setdefault(server.zone, Mean(0.0))
-        zone_load.add(reported_load / server.weight, ZONE_LOAD_SAMPLES)
+        server.smoothed_load += (load - server.smoothed_load) * (0.3 if server.reported_at > 0 else 1.0)
+        server.reported_load = load
+        zone = self.zone_load.setdefault(server.zone, Mean(0.0))
+        zone.add(load / server.weight, ZONE_LOAD_SAMPLES)
         server.reported_at = now
         server.net_sends_since_report = 0
 
@@ -753,9 +653,9 @@
         self.busy = 0  # attempts that take a place in W
         self.arrivals = self.sends = 0
         self.retry_tokens = RETRY_BURST
-        self.rescue_tokens = HEDGE_WORK_BURST
+        self.rescue_tokens = HEDGE_BURST
         self.probe_tokens = INITIAL_PROBES
-        self.asks = settings.may_probe and PRE_SEND_PROBE_COUNT * settings.price_probe <= MAX_PRE_SEND_PROBE_PRICE
+        self.asks = settings.may_probe and PRE_SEND_PROBES * settings.price_probe <= MAX_PRE_SEND_PRICE
         self.now = 0.0
         self.last_step = -1.0
         self.stalled = False  # this batch comes after a pause of the instance's own
@@ -802,7 +702,7 @@
                 self.on_stream(event)
         if self.last_step < 0:
             self.start()
-        elif now - self.last_step >= CONTROL_STEP - 1e-9:
+        elif now - self.last_step >= TICK - 1e-9:
             self.step()
         for call in fresh:
             if not call.ended:  # the client may leave within the batch that it came in
@@ -814,14 +714,14 @@
         self.shrink()
         if not self.timer_set:
             self.timer_set = True
-            self.actions.append(SetTimer(CONTROL_STEP, TICK_TOKEN))
+            self.actions.append(SetTimer(TICK, TICK_TOKEN))
         return list(self.actions)
 
     def start(self) -> None:
         self.last_step = self.now
         # Discovery is small and all instances may start at once: the first call is spread out.
         instances = self.settings.balancers * self.settings.stages
-        spread = min(MAX_FIRST_WATCH_DELAY, FIRST_WATCH_DELAY_PER_INSTANCE * instances, self.settings.must_ask_within / 4)
+        spread = min(MAX_START_DELAY, START_DELAY_PER_INSTANCE * instances, self.settings.must_ask_within / 4)
         self.watch_at = self.now + self.random.random() * spread
 
     # events
@@ -874,7 +774,7 @@
         self.gate.calls[call.id] = call
         self.admission.history.append(worth)
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
-        self.rescue_tokens = min(HEDGE_WORK_BURST, self.rescue_tokens + HEDGE_WORK_RATIO / self.settings.stages)
+        self.rescue_tokens = min(HEDGE_BURST, self.rescue_tokens + HEDGE_RATIO / self.settings.stages)
         fresh.append(call)
 
     def admit(self, call: Call) -> None:
@@ -894,7 +794,7 @@
         client that forgets the mark gets work that comes too late."""
         first = self.settings.clients_mark_retries and not resent
         usual = cls.usual_budget(budget)  # also learned from first tries
-        if self.settings.stage or first or budget >= usual - CONTROL_STEP:
+        if self.settings.stage or first or budget >= usual - TICK:
             return cls.aim
         return cls.aim - (cls.deadline - budget)
 
@@ -907,7 +807,7 @@
         client that is told nothing comes back sooner, into the same crowd."""
         if not self.settings.may_advise_wait:
             return 0.0
-        return min(self.settings.max_wait_advice, max(CONTROL_STEP, RETRY_ADVICE_FACTOR * self.admission.proc))
+        return min(self.settings.max_wait_advice, max(TICK, ADVICE_FACTOR * self.admission.proc))
 
     def refuse(self, call: Call) -> None:
         self.gate.answer(call, self.advice())
@@ -932,8 +832,8 @@
         attempt = self.out.get((event.call, event.attempt))
         if attempt is not None:
             attempt.call.streaming = True
-            if attempt.counts_toward_limit:
-                attempt.counts_toward_limit = False
+            if attempt.has_slot:
+                attempt.has_slot = False
                 self.busy -= 1
 
     def on_outcome(self, event: Outcome) -> None:
@@ -948,10 +848,10 @@
             server.net_sends_since_report -= 1
         if status == Status.OK:
             server.used_at = now
-        if attempt.counts_toward_limit:
+        if attempt.has_slot:
             self.busy -= 1
         if event.rested is not None:
-            attempt.idle_time, attempt.new_connection = event.rested, event.rested <= 0
+            attempt.idle_time, attempt.opened = event.rested, event.rested <= 0
         was_ended = call.ended
         self.gate.finish_attempt(attempt, status, event.final)
         self.servers.record_report(server, event.report, now)
@@ -997,7 +897,7 @@
             servers.record_answer(server, now)
             servers.record_failure_share(server, cls, not ok, now)
         broken = status in (Status.CONNECT_FAILED, Status.RESET)
-        server.connection_failures += broken
+        server.broken_connections += broken
         lost = status == Status.RESET and servers.detect_idle_drop(attempt, reset=True)
         excused = broken and (lost or servers.alive(server, now))
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
@@ -1013,13 +913,13 @@
             admission.window += admission.step()  # a broken connection, not a crowd, kept it so long
         elif status == Status.TIMEOUT and elapsed < cls.target:
             pass  # it had less time than an answer may take
-        elif not attempt.over_target and attempt.counts_toward_limit and (ok or status in (Status.TIMEOUT, Status.FULL)):
+        elif not attempt.over_target and attempt.has_slot and (ok or status in (Status.TIMEOUT, Status.FULL)):
             admission.bad()
         # capacity: calls held against latency in units of the class's mean
         latency = elapsed / cls.mean.value
         if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
             spent = min(MAX_LATENCY_RATIO, latency + (not ok))
-            (servers.new_connection_latency if attempt.new_connection else servers.open_connection_latency).add(spent, CONNECT_COST_SAMPLES)
+            (servers.new_latency if attempt.opened else servers.open_latency).add(spent, CONNECT_COST_SAMPLES)
         if not ok:
             # A fast-failing server looks idle: a failure counts as a slow answer.
             latency = MAX_LATENCY_RATIO
@@ -1035,7 +935,7 @@
         if ok:
             server.last_ok = now
             server.newest_served_sent_at = max(server.newest_served_sent_at, attempt.sent_at)
-            if attempt.new_connection:
+            if attempt.opened:
                 server.connect_failures = 0
             server.slow_streak = server.failed_probe_streak = 0
             if server.on_probation:
@@ -1050,7 +950,7 @@
                 # push its calls, and connections, onto the rest. Use what is open. One failure may be chance.
                 server.connect_failures += 1
                 if server.connect_failures >= FULL_AFTER_CONNECT_FAILURES:
-                    server.max_in_flight, server.max_in_flight_until = max(1, server.in_flight), now + CONNECTION_LIMIT_TIME
+                    server.call_limit, server.call_limit_until = max(1, server.in_flight), now + AT_LIMIT_TIME
             failed = False  # nothing was answered: no sign of one that fails what it gets
         elif status == Status.TIMEOUT:
             servers.detect_idle_drop(attempt, reset=False)
@@ -1064,8 +964,8 @@
         if not self.servers.eject(server, self.now, hard):
             return
         for attempt in self.out.values():
-            if attempt.server is server and attempt.counts_toward_limit:
-                attempt.counts_toward_limit = False
+            if attempt.server is server and attempt.has_slot:
+                attempt.has_slot = False
                 self.busy -= 1
         self.servers.rebuild_pool(self.now)
 
@@ -1089,7 +989,7 @@
             if server.ejected_until:
                 if event.status in (Status.CONNECT_FAILED, Status.ERROR):
                     self.doubt()
-                server.ejected_until = self.now + min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**server.ejections)
+                server.ejected_until = self.now + min(MAX_EJECTION, BASE_EJECTION * 2**server.ejections)
                 server.ejections = min(server.ejections + 1, 6)
             elif server.failed_probe_streak >= 2 and server.last_ok < self.now - self.servers.mean_latency:
                 self.eject(server, hard=True)
@@ -1113,7 +1013,7 @@
             servers.mean_latency = max(admission.latency.value, 1e-3)
         servers.refill_slow_start_tokens(now, span)
         servers.decay_capacity(span)
-        servers.max_idle_age = min(self.settings.conn_idle, servers.max_idle_age * (1 + span / IDLE_AGE_DOUBLING_TIME))
+        servers.max_idle_age = min(self.settings.conn_idle, servers.max_idle_age * (1 + span / IDLE_DOUBLING))
         self.probe(span)
         admission.set_cut()
 
@@ -1143,7 +1043,7 @@
             cls = attempt.call.cls
             if age > HEDGE_AGE * cls.mean.value and self.overtaken(attempt):
                 self.lose(attempt)
-            if attempt.counts_toward_limit:
+            if attempt.has_slot:
                 total += age
                 counted += 1
                 if not attempt.over_target and age > cls.target:
@@ -1184,8 +1084,8 @@
         if attempt.stalled_connection:
             return
         attempt.stalled_connection = True
-        if attempt.counts_toward_limit:
-            attempt.counts_toward_limit = False
+        if attempt.has_slot:
+            attempt.has_slot = False
             self.busy -= 1
         if attempt.over_target:
             self.admission.window += self.admission.step()  # it was no sign of a crowd
@@ -1200,7 +1100,7 @@
             return
         mean = call.cls.mean.value
         left = call.useful_until - self.now
-        time_yet = left > max(HEDGE_TIME_LEFT * mean, mean + 2 * CONTROL_STEP) and not attempt.server.ejected_until
+        time_yet = left > max(HEDGE_TIME_LEFT * mean, mean + 2 * TICK) and not attempt.server.ejected_until
         if time_yet or left < mean or min(self.retry_tokens, self.rescue_tokens) < 1:
             return
         if call.cls.effect is not Effect.REPEATABLE or not self.gate.may_attempt_again(call):
@@ -1246,21 +1146,21 @@
             call.probed_candidates = []
             servers = self.servers
             pace = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.rate)
-            if call.attempts or call.deadline - self.now < 3 * PRE_SEND_PROBE_WAIT:
+            if call.attempts or call.deadline - self.now < 3 * PRE_SEND_WAIT:
                 return False
-            if len(servers.pool) < pace * servers.mean_latency or servers.mean_latency < 2 * PRE_SEND_PROBE_WAIT:
+            if len(servers.pool) < pace * servers.mean_latency or servers.mean_latency < 2 * PRE_SEND_WAIT:
                 return False
             usable = [s for s in servers.pool if servers.usable(s, self.now)]
             warm = [s for s in usable if servers.has_open_connection(s, self.now)]
-            call.probed_candidates = self.random.sample(warm, min(PRE_SEND_PROBE_COUNT - 1, len(warm)))
+            call.probed_candidates = self.random.sample(warm, min(PRE_SEND_PROBES - 1, len(warm)))
             others = [s for s in usable if s not in call.probed_candidates]
-            call.probed_candidates += self.random.sample(others, min(PRE_SEND_PROBE_COUNT - len(call.probed_candidates), len(others)))
+            call.probed_candidates += self.random.sample(others, min(PRE_SEND_PROBES - len(call.probed_candidates), len(others)))
             for server in call.probed_candidates:
                 if not server.probe_out:
                     self.send_probe(server)
-            call.probe_wait_until = self.now + PRE_SEND_PROBE_WAIT
-            self.actions.append(SetTimer(PRE_SEND_PROBE_WAIT, PRE_SEND_PROBE_TOKEN))
-        return self.now < call.probe_wait_until - 1e-9 and any(server.probe_out for server in call.probed_candidates)
+            call.probe_end = self.now + PRE_SEND_WAIT
+            self.actions.append(SetTimer(PRE_SEND_WAIT, PRE_SEND_TOKEN))
+        return self.now < call.probe_end - 1e-9 and any(server.probe_out for server in call.probed_candidates)
 
     def send_probe(self, server: Server) -> None:
         server.probe_out = True
@@ -1299,7 +1199,7 @@
                     place += 1
                 continue
             server, load = choice
-            until = call.deadline if call.cls.late_counts else max(call.useful_until, now + CONTROL_STEP)
+            until = call.deadline if call.cls.late_counts else max(call.useful_until, now + TICK)
             idle = servers.idle_time(server, now)
             if idle > servers.max_idle_age and servers.connect_cost < HIGH_CONNECT_COST:
                 self.actions.append(CloseIdle(server.id))
@@ -1312,7 +1212,7 @@
             if attempt is None:
                 continue
             self.out[(call.id, attempt.number)] = attempt
-            attempt.idle_time, attempt.new_connection, server.used_at = idle, opened, now
+            attempt.idle_time, attempt.opened, server.used_at = idle, opened, now
             server.in_flight += 1
             server.net_sends_since_report += 1
             if servers.slow_start_share(server, now) < 1:
@@ -1350,10 +1250,10 @@
         kept: list[Call] = []
         for call in self.queue:
             left = call.useful_until - now
-            fits = not kept or (len(kept) + 1) * wait + QUEUE_TAIL_ALLOWANCE * call.cls.mean.value <= left
+            fits = not kept or (len(kept) + 1) * wait + TAIL_ALLOWANCE * call.cls.mean.value <= left
             # A call that asks its candidates goes out or comes back here before its deadline; one with less
             # than a mean latency left would be work for nothing, most of all where servers are crowded.
-            asking = now < call.probe_wait_until - 1e-9 and left > call.cls.mean.value
+            asking = now < call.probe_end - 1e-9 and left > call.cls.mean.value
             if fits and left > 0 and (asking or call.deadline - now > ANSWER_MARGIN):
                 kept.append(call)
             else:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -52,7 +52,7 @@
 
 
 class Driver:
-    """Drives a Balancer on a simulated clock, and keeps all its actions. Timers fire as the clock advances."""
+    """Drives a Balancer on a simulated clock and keeps all its actions; timers fire as the clock advances."""
 
     def __init__(self, setup: Settings, seed: int = 1, servers: list[ServerEntry] | None = None) -> None:
         self.balancer = Balancer(setup, seed)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -37,7 +37,7 @@
 )
 from granitepoint.admission import Admission, Kind
 from granitepoint.logic import (
-    CONNECTION_LIMIT_TIME,
+    AT_LIMIT_TIME,
     FAILURE_SHARE_DECAY_TIME,
     CAPACITY_DECAY_TIME,
     NEVER_RAN_RETRY_COST,
@@ -563,7 +563,7 @@
     second, third = only_send(driver.arrive(2, "once")), only_send(driver.arrive(3, "once"))
     driver.finish(first, Status.OK)
     driver.finish(second, Status.CONNECT_FAILED, final=True)
-    assert not server.max_in_flight  # one may be chance
+    assert not server.call_limit  # one may be chance
     driver.finish(third, Status.CONNECT_FAILED, final=True)
     assert not server.ejected_until
     again = sends(driver.arrive(4, "once")) + sends(driver.arrive(5, "once"))
@@ -757,7 +757,7 @@
         send = only_send(driver.arrive(call, "once"))
         driver.finish(send, status, elapsed=0.001, final=True)
         assert send.server == other.id and not other.ejected_until
-    driver.wait(CONNECTION_LIMIT_TIME + 0.1)
+    driver.wait(AT_LIMIT_TIME + 0.1)
     driver.finish(only_send(driver.arrive(7, "once")), Status.OK)
     out = [only_send(driver.arrive(call, "once")) for call in (8, 9, 10)]
     for broken, send in enumerate(out, 1):  # a process that dies breaks all that it has
@@ -812,8 +812,8 @@
         first = only_send(driver.arrive(1))
         for call in range(2, 12):  # open on one server, and slow or not when opened
             driver.finish(first, Status.OK, elapsed=0.1)
-            driver.balancer.servers.new_connection_latency.add(new_cost, 30)
-            driver.balancer.servers.open_connection_latency.add(1.0, 30)
+            driver.balancer.servers.new_latency.add(new_cost, 30)
+            driver.balancer.servers.open_latency.add(1.0, 30)
             first = only_send(driver.arrive(call))
         return int(only_send(driver.arrive(12)).server == first.server)
 
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -167,8 +167,8 @@
 
 
 def test_client_that_leaves_in_the_batch_of_its_arrival_gets_no_answer() -> None:
-    # On an overloaded day, arrivals were processed after all other events of a batch, so that the departure of
-    # a client in the same batch was overlooked.
+    # On an overloaded day, arrivals were processed after all other events of a batch, so that a client that
+    # left in the same batch was overlooked.
     driver = Driver(settings())
     actions = driver.feed(Arrival(9, "safe", 2.0), Gone(9))
     actions += driver.wait(3.0)
@@ -239,8 +239,8 @@
 
 
 def test_a_listed_server_that_refuses_probes_renews_the_watch_but_seldom() -> None:
-    # In incident r2219cc the watch was silent for 24 s while three of four servers were replaced. Probes that a
-    # listed server refuses show that the list is stale, and make the instance open a new watch.
+    # In incident r2219cc the watch was silent for 24 s while three of four servers were replaced. A listed
+    # server that refuses probes shows that the list may be stale: the instance opens a new watch.
     driver = Driver(settings(ask_for_list=True, may_probe=True), servers=entries(1, 2))
 
     def wait(span: float, status: Status) -> None:
@@ -255,8 +255,8 @@
 
 
 def test_failed_watches_are_renewed_within_the_configured_time() -> None:
-    # One site treats an instance that has not asked for four seconds as if it had been notified of every drain;
-    # after a failed call it allows four times that.
+    # One site counts an instance that has not asked for four seconds as notified of every drain; after a
+    # failed call it allows four times that.
     driver = Driver(settings(ask_for_list=True, must_ask_within=4.0))
     watch_times: list[float] = []
     while driver.now < 140.0:
