--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import ONCE, SAFE, ZONED, Driver, drained, entries, only_send, sends, settings
+from helpers import ONCE, SAFE, ZONED, Driver, entries, only_send, sends, settings, state_update
 
 from granitepoint import (
     Action,
@@ -37,10 +37,10 @@
 )
 from granitepoint.admission import Admission, Kind
 from granitepoint.logic import (
-    CONNECTIONS_FULL,
-    FAILING_MEMORY,
-    PACE_MEMORY,
-    RETRY_UNSEEN,
+    AT_LIMIT_TIME,
+    CAPACITY_DECAY_TIME,
+    FAILURE_SHARE_DECAY_TIME,
+    NEVER_RAN_RETRY_COST,
 )
 from granitepoint.membership.backoff import CROWDED, LONGEST_PAUSE
 from granitepoint.membership.evidence import Failure
@@ -209,11 +209,11 @@
 def test_refused_connections_eject_and_a_probe_readmits() -> None:
     driver = Driver(settings(may_probe=True), servers=entries(1, 2))
     send = only_send(driver.arrive(1))
-    driver.settle(send, Status.CONNECT_FAILED)
+    driver.finish(send, Status.CONNECT_FAILED)
     others = {only_send(driver.arrive(call)).server for call in (2, 3, 4)}
     assert send.server not in others
     driver.wait(1.0)
-    assert Probe(send.server) in driver.said
+    assert Probe(send.server) in driver.actions
     driver.feed(Probed(send.server, Status.OK, 0.001, None))
     assert not driver.balancer.servers.known[send.server].ejected_until
 
@@ -235,7 +235,7 @@
             if send.server == 1:
                 hung += 1
             else:
-                driver.settle(send, Status.OK)
+                driver.finish(send, Status.OK)
     assert hung <= 8  # an even share would be 20
 
 
@@ -247,7 +247,7 @@
         for send in sends(driver.arrive(call, "once")):
             sent_to_failing += send.server == 1
             is_failing_server = send.server == 1
-            driver.settle(
+            driver.finish(
                 send,
                 Status.ERROR if is_failing_server else Status.OK,
                 elapsed=0.001 if is_failing_server else 0.05,
@@ -265,7 +265,7 @@
             send, number = todo.pop()
             tries += 1
             todo += [
-                (again, number + 1) for again in sends(driver.settle(send, Status.ERROR, number), send.call)
+                (again, number + 1) for again in sends(driver.finish(send, Status.ERROR, number), send.call)
             ]
     assert tries <= 200 * 1.15 + 5
 
@@ -273,7 +273,7 @@
 def test_calls_over_a_tenant_quota_have_less_utility() -> None:
     driver = Driver(settings(tenants=[Tenant("t", 2.0)], over_share_worth=0.1, balancers=1), servers=[])
     driver.feed(*[Arrival(call, "safe", 2.0, "t") for call in range(4)])
-    assert [call.worth for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
+    assert [call.utility for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
 
 
 def test_late_tries_are_recognized_by_their_budget() -> None:
@@ -298,8 +298,8 @@
     # since their reduced budgets looked as if the clients' total time was running out.
     driver = Driver(settings())
     for call in range(20):
-        driver.settle(only_send(driver.arrive(call, "once", budget=1.0, stated=1.0)), Status.OK)
-    driver.settle(only_send(driver.arrive(98, "once", budget=0.9, stated=1.0)), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once", budget=1.0, stated=1.0)), Status.OK)
+    driver.finish(only_send(driver.arrive(98, "once", budget=0.9, stated=1.0)), Status.OK)
     assert not sends(driver.arrive(99, "once", budget=0.9, stated=0.9))  # this client has waited
 
 
@@ -308,7 +308,7 @@
     for marked, resent, sent in ((True, False, True), (True, True, False), (False, False, False)):
         driver = Driver(settings(clients_mark_retries=marked))
         for call in range(20):
-            driver.settle(only_send(driver.arrive(call)), Status.OK)
+            driver.finish(only_send(driver.arrive(call)), Status.OK)
         assert bool(sends(driver.arrive(99, budget=0.9, resent=resent))) == sent
 
 
@@ -318,13 +318,13 @@
     driver = Driver(settings(), servers=entries(1, 2))
     servers = driver.balancer.servers
     servers.send_rate = 40.0
-    servers.fill_tokens(driver.now, 0.05)
+    servers.refill_slow_start_tokens(driver.now, 0.05)
     servers.send_rate = 1.0
     driver.feed(ServerList(ListKind.INCREMENTAL, entries(2, started_at=driver.now)))
     cold = servers.known[2]
-    cold.tokens = 0.0
-    servers.fill_tokens(driver.now, 0.05)
-    assert cold.tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
+    cold.slow_start_tokens = 0.0
+    servers.refill_slow_start_tokens(driver.now, 0.05)
+    assert cold.slow_start_tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
 
 
 def test_peak_rate_of_many_servers_does_not_set_the_budget_of_a_single_cold_one() -> None:
@@ -332,25 +332,25 @@
     driver = Driver(settings(), servers=entries(1, 2, 3, 4))
     servers = driver.balancer.servers
     servers.send_rate = 40.0
-    servers.fill_tokens(driver.now, 0.05)
-    servers.take_list(ServerList(ListKind.FULL, entries(1, started_at=driver.now)), driver.now)
+    servers.refill_slow_start_tokens(driver.now, 0.05)
+    servers.apply_list(ServerList(ListKind.FULL, entries(1, started_at=driver.now)), driver.now)
     (left,) = servers.pool
-    left.tokens = 0.0
-    servers.fill_tokens(driver.now, 0.05)
+    left.slow_start_tokens = 0.0
+    servers.refill_slow_start_tokens(driver.now, 0.05)
     # A quarter of the peak rate, times the capacity of a cold server (0.3), times the allowed multiple (1.5).
-    assert left.tokens == pytest.approx(10 * 0.3 * 1.5 * 0.05, rel=0.05)
+    assert left.slow_start_tokens == pytest.approx(10 * 0.3 * 1.5 * 0.05, rel=0.05)
 
 
 def test_first_watch_starts_within_two_seconds_and_failures_back_off() -> None:
     driver = Driver(settings(ask_for_list=True))
     driver.wait(2.1)
-    assert driver.said.count(Watch(True)) == 1
+    assert driver.actions.count(Watch(True)) == 1
     driver.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
-    before = driver.said.count(Watch(True))
+    before = driver.actions.count(Watch(True))
     driver.wait(CROWDED.first * CROWDED.least_share - 0.05)
-    assert driver.said.count(Watch(True)) == before
+    assert driver.actions.count(Watch(True)) == before
     driver.wait(CROWDED.first)
-    assert driver.said.count(Watch(True)) == before + 1
+    assert driver.actions.count(Watch(True)) == before + 1
     assert Watch(True) not in Driver(settings()).wait(12.0)
 
 
@@ -369,12 +369,12 @@
     driver = Driver(settings(), servers=[*entries(1), *entries(2, zone="b")])
     send = only_send(driver.arrive(1, "zoned"))
     if reason == "drained":
-        driver.feed(drained(send.server, ServerState.DRAINING))
+        driver.feed(state_update(send.server, ServerState.DRAINING))
     elif reason == "window over":
         driver.wait(ZONED.window + 0.1)
     else:
         driver.balancer.servers.known[send.server].ejected_until = driver.now + 9.0
-    actions = driver.settle(send, Status.ERROR, final=False)
+    actions = driver.finish(send, Status.ERROR, final=False)
     assert Fail(1) in actions and not sends(actions)
     assert not driver.balancer.queue and 1 not in driver.balancer.safety_rules.calls
 
@@ -387,7 +387,7 @@
     send = only_send(driver.arrive(1, "late"))
     assert send.timeout == pytest.approx(2.0)
     driver.now += 2.0
-    assert Fail(1) in driver.settle(send, Status.TIMEOUT, elapsed=2.0)
+    assert Fail(1) in driver.finish(send, Status.TIMEOUT, elapsed=2.0)
 
 
 def test_target_latency_of_inner_tiers_is_smaller() -> None:
@@ -403,10 +403,10 @@
     send = only_send(driver.arrive(1, budget=4.0))
     assert Cancel(1, 0) not in driver.wait(3.85)
     assert Cancel(1, 0) in driver.wait(0.14)  # just enough time is left for a further attempt
-    (again,) = sends(driver.settle(send, Status.CANCELLED, final=False))
-    driver.settle(again, Status.OK, attempt=1, elapsed=0.02)
+    (again,) = sends(driver.finish(send, Status.CANCELLED, final=False))
+    driver.finish(again, Status.OK, attempt=1, elapsed=0.02)
     for call in range(2, 4000):  # refills the hedge tokens that the first one cost
-        driver.settle(only_send(driver.arrive(call, budget=4.0)), Status.OK, elapsed=0.02)
+        driver.finish(only_send(driver.arrive(call, budget=4.0)), Status.OK, elapsed=0.02)
     driver.arrive(5000, budget=4.0)
     assert Cancel(5000, 0) not in driver.wait(3.8)
     assert Cancel(5000, 0) in driver.wait(0.15)
@@ -416,7 +416,7 @@
     """An instance that may cancel attempts and has seen calls take 50 ms."""
     driver = Driver(settings(may_cancel=True, **changes))
     for call in range(1000, 1000 + calls):
-        driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
+        driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
     return driver
 
 
@@ -426,7 +426,7 @@
     send = only_send(driver.arrive(1))
     assert Cancel(1, 0) not in driver.wait(0.8)  # 16 times the mean latency, of an objective of 1.0 s
     assert Cancel(1, 0) in driver.wait(0.14)
-    (again,) = sends(driver.settle(send, Status.CANCELLED, final=False))
+    (again,) = sends(driver.finish(send, Status.CANCELLED, final=False))
     assert again.call == 1 and again.server != send.server
 
 
@@ -440,7 +440,7 @@
     driver.arrive(1)
     driver.wait(0.99)
     for call in range(2000, 2120):  # each refills 0.15
-        driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
+        driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
     driver.arrive(2)
     assert Cancel(2, 0) in driver.wait(0.99)
 
@@ -451,19 +451,19 @@
         driver.arrive(1)
         driver.wait(0.99)
         for call in range(2000, 2120):
-            driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
+            driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.05)
         driver.arrive(2)
         assert (Cancel(2, 0) in driver.wait(0.99)) is cancelled
 
 
 def test_a_call_on_an_ejected_server_is_hedged_at_once() -> None:
     driver = warmed_up()
-    driver.feed(drained(4, ServerState.GONE))
+    driver.feed(state_update(4, ServerState.GONE))
     sent = [only_send(driver.arrive(call)) for call in range(1, 5)]  # one of the three servers gets two calls
     (hung,) = {send.server for send in sent if [each.server for each in sent].count(send.server) > 1}
     for send in sent:
         if send.server != hung:
-            driver.settle(send, Status.OK, elapsed=0.05)
+            driver.finish(send, Status.OK, elapsed=0.05)
     actions = driver.wait(0.3)
     assert any(Cancel(send.call, 0) in actions for send in sent if send.server == hung)
 
@@ -501,7 +501,7 @@
                 )
         assert not any(isinstance(action, Cancel | Refuse | Fail) for action in actions)
         if isinstance(event, Outcome) and tier:
-            sent = next(s for s in sends(tiers[tier - 1].said) if s.call == event.call)
+            sent = next(s for s in sends(tiers[tier - 1].actions) if s.call == event.call)
             elapsed = event.elapsed + 2 * hop_delay
             schedule(tier - 1, at + hop_delay, Outcome(event.call, 0, sent.server, Status.OK, elapsed, True))
     assert sends_by_tier == [5] * depth
@@ -516,14 +516,14 @@
     before = admission.window
     for call in range(15):
         driver.wait(1.0)
-        driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.7)
+        driver.finish(only_send(driver.arrive(call)), Status.OK, elapsed=0.7)
     assert admission.window >= before and admission.drop() == 0.0
 
 
 def test_an_answer_with_zero_latency_is_handled() -> None:
     # Found by the property test: division by a mean latency of 0.
     driver = Driver(settings())
-    driver.settle(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
+    driver.finish(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
     assert driver.balancer.class_states["safe"].mean.value > 0
 
 
@@ -580,13 +580,13 @@
     server = driver.balancer.servers.known[1]
     first = only_send(driver.arrive(1, "once"))
     second, third = only_send(driver.arrive(2, "once")), only_send(driver.arrive(3, "once"))
-    driver.settle(first, Status.OK)
-    driver.settle(second, Status.CONNECT_FAILED, final=True)
-    assert not server.most_out  # a single failure may be chance
-    driver.settle(third, Status.CONNECT_FAILED, final=True)
+    driver.finish(first, Status.OK)
+    driver.finish(second, Status.CONNECT_FAILED, final=True)
+    assert not server.call_limit  # a single failure may be chance
+    driver.finish(third, Status.CONNECT_FAILED, final=True)
     assert not server.ejected_until
     again = sends(driver.arrive(4, "once")) + sends(driver.arrive(5, "once"))
-    assert len(again) == 1 and server.out == 1  # one connection is open, so one call at a time
+    assert len(again) == 1 and server.in_flight == 1  # one connection is open, so one call at a time
 
 
 def test_call_with_too_little_time_is_not_sent_while_others_are_in_flight() -> None:
@@ -622,7 +622,7 @@
     probes, calls = 0, 400
     for call in range(-40, calls):  # the first 40 are not counted: the start has extra probes
         actions = [*driver.arrive(call + 41, "once"), *driver.wait(0.05)]
-        driver.settle(only_send(actions), Status.OK)
+        driver.finish(only_send(actions), Status.OK)
         sent_probes = [a for a in actions if isinstance(a, Probe)]
         probes += len(sent_probes) if call >= 0 else 0
         driver.feed(*[Probed(a.server, Status.OK, 0.001, {"busy_reqs": 1.0}) for a in sent_probes])
@@ -635,15 +635,15 @@
     # refused.
     driver = Driver(settings(), servers=entries(1))
     for call in range(30):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     balancer = driver.balancer
     limit, latency_estimate = balancer.admission.window, balancer.admission.proc
     silent = only_send(driver.arrive(30, "once"))
     for call in range(31, 60):
         driver.wait(0.05)
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     assert balancer.counted_in_flight == 0 and silent.call in balancer.safety_rules.calls
-    driver.settle(silent, Status.TIMEOUT, elapsed=1.9, final=True)
+    driver.finish(silent, Status.TIMEOUT, elapsed=1.9, final=True)
     assert balancer.admission.window >= limit
     assert balancer.admission.proc == pytest.approx(latency_estimate, rel=0.1)
 
@@ -652,7 +652,7 @@
     """The server answered nothing that was sent after them, so the server is at fault, not a connection."""
     driver = Driver(settings(), servers=entries(1))
     for call in range(30):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     driver.arrive(30, "once")
     for _ in range(4):
         driver.wait(0.05)
@@ -663,12 +663,12 @@
     """Seen on a short zone day: connections of healthy servers were reset up to 0.8 s after the request."""
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     limit = driver.balancer.admission.window
     send = only_send(driver.arrive(60, "once"))
     driver.wait(driver.balancer.class_states["once"].target + 0.1)
     assert driver.balancer.admission.window < limit  # by its age it looks like overload
-    driver.settle(send, Status.RESET, elapsed=0.5, final=True)
+    driver.finish(send, Status.RESET, elapsed=0.5, final=True)
     assert driver.balancer.admission.window == pytest.approx(limit, rel=0.02)
 
 
@@ -676,11 +676,11 @@
     """The client left the call less time than an answer may take."""
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     limit, target = driver.balancer.admission.window, driver.balancer.class_states["once"].target
-    driver.settle(only_send(driver.arrive(60, "once")), Status.TIMEOUT, elapsed=target / 2, final=True)
+    driver.finish(only_send(driver.arrive(60, "once")), Status.TIMEOUT, elapsed=target / 2, final=True)
     assert driver.balancer.admission.window == limit
-    driver.settle(only_send(driver.arrive(61, "once")), Status.TIMEOUT, elapsed=target + 0.1, final=True)
+    driver.finish(only_send(driver.arrive(61, "once")), Status.TIMEOUT, elapsed=target + 0.1, final=True)
     assert driver.balancer.admission.window < limit
 
 
@@ -688,7 +688,7 @@
     """Where a server gets few calls, no later one may be answered for long, so the server is probed."""
     driver = Driver(settings(may_probe=True), servers=entries(1))
     for call in range(30):
-        driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
+        driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
         driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.arrive(30, "once")
     sent_probes = [action for action in driver.wait(0.8) if isinstance(action, Probe)]
@@ -708,15 +708,15 @@
     driver = Driver(settings(), servers=entries(1, 2, 3))
     for call in range(40):
         send = only_send(driver.arrive(call, "once"))
-        driver.settle(send, Status.OK)
+        driver.finish(send, Status.OK)
     limit = driver.balancer.admission.window
     for call in range(40, 60):
         send = only_send(driver.arrive(call, "once"))
-        driver.settle(send, Status.ERROR, final=True)
+        driver.finish(send, Status.ERROR, final=True)
         driver.wait(0.05)
     assert driver.balancer.admission.window == limit
     send = only_send(driver.arrive(60, "once"))
-    driver.settle(send, Status.OK, elapsed=1.5)  # an answer over the target does lower it
+    driver.finish(send, Status.OK, elapsed=1.5)  # an answer over the target does lower it
     assert driver.balancer.admission.window < limit
 
 
@@ -725,7 +725,7 @@
     # was not learned from, and the next call was sent on a connection that had been idle as long.
     driver = Driver(settings(conn_idle=30.0), servers=entries(1))
     first, second = only_send(driver.arrive(1)), only_send(driver.arrive(2))
-    driver.settle(first, Status.OK)
+    driver.finish(first, Status.OK)
     driver.wait(0.4)
     third = only_send(driver.arrive(3))  # the second is still in flight: the server looks in use
     assert third.trust > 20.0
@@ -746,7 +746,7 @@
         driver.feed(ClosedAtRest(1, idle_time))
         send = only_send(driver.arrive(call))
         assert min_age < send.trust <= max_age
-        driver.settle(send, Status.OK)
+        driver.finish(send, Status.OK)
     driver.wait(60.0)
     assert only_send(driver.arrive(9)).trust > 2.0  # longer idle times are tried again
 
@@ -755,13 +755,13 @@
     # Seen on days of pratiche-nord with idle_reap: each lost idle connection ejected a healthy server,
     # and the next idle connection was used nevertheless.
     driver = Driver(settings(), servers=entries(1))
-    driver.settle(only_send(driver.arrive(1, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(1, "once")), Status.OK)
     driver.wait(3.0)
     send = only_send(driver.arrive(2, "once"))
-    assert CloseIdle(1) not in driver.said
-    driver.settle(send, Status.RESET, elapsed=0.001)
+    assert CloseIdle(1) not in driver.actions
+    driver.finish(send, Status.RESET, elapsed=0.001)
     assert not driver.balancer.servers.known[1].ejected_until
-    driver.settle(only_send(driver.arrive(3, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(3, "once")), Status.OK)
     driver.wait(3.0)
     actions = driver.arrive(4, "once")
     assert actions.index(CloseIdle(1)) < actions.index(only_send(actions))
@@ -772,20 +772,20 @@
     # calls milliseconds before, until no backend was left.
     driver = Driver(settings(), servers=entries(1, 2))
     unanswered = only_send(driver.arrive(1, "once"))
-    driver.settle(unanswered, Status.RESET)
+    driver.finish(unanswered, Status.RESET)
     known = driver.balancer.servers.known
     assert known[unanswered.server].ejected_until
     other = known[3 - unanswered.server]
-    driver.settle(only_send(driver.arrive(2, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(2, "once")), Status.OK)
     for call, status in enumerate((Status.RESET, Status.CONNECT_FAILED, Status.OK, Status.RESET), 3):
         send = only_send(driver.arrive(call, "once"))
-        driver.settle(send, status, elapsed=0.001, final=True)
+        driver.finish(send, status, elapsed=0.001, final=True)
         assert send.server == other.id and not other.ejected_until
-    driver.wait(CONNECTIONS_FULL + 0.1)
-    driver.settle(only_send(driver.arrive(7, "once")), Status.OK)
+    driver.wait(AT_LIMIT_TIME + 0.1)
+    driver.finish(only_send(driver.arrive(7, "once")), Status.OK)
     in_flight = [only_send(driver.arrive(call, "once")) for call in (8, 9, 10)]
     for broken, send in enumerate(in_flight, 1):  # a process that dies breaks all its connections
-        driver.settle(send, Status.RESET)
+        driver.finish(send, Status.RESET)
         assert bool(other.ejected_until) == (broken >= 3)
 
 
@@ -795,36 +795,36 @@
     servers = driver.balancer.servers
     safe, once = driver.balancer.class_states["safe"], driver.balancer.class_states["once"]
     send = only_send(driver.arrive(1, "once"))
-    driver.settle(send, Status.FULL, elapsed=0.354, final=True)
+    driver.finish(send, Status.FULL, elapsed=0.354, final=True)
     failed = servers.known[send.server]
-    assert servers.failing(failed, once, driver.now) == pytest.approx(0.3)
-    assert servers.failing(failed, safe, driver.now) == 0.0
-    assert servers.usual_failing(once, driver.now) == pytest.approx(0.15)
+    assert servers.failure_share(failed, once, driver.now) == pytest.approx(0.3)
+    assert servers.failure_share(failed, safe, driver.now) == 0.0
+    assert servers.pool_failure_share(once, driver.now) == pytest.approx(0.15)
     assert all(only_send(driver.arrive(call, "once")).server != failed.id for call in (2, 3))
-    faded = servers.failing(failed, once, driver.now + FAILING_MEMORY)
+    faded = servers.failure_share(failed, once, driver.now + FAILURE_SHARE_DECAY_TIME)
     assert faded == pytest.approx(0.3 / 2.71828, rel=1e-3)
 
 
 def test_a_retry_costs_less_after_an_attempt_that_never_ran() -> None:
     # Seen there too: refused calls used up the retry budget of inner tiers, and each one lost the call above.
     driver = Driver(settings())
-    driver.balancer.retry_tokens = RETRY_UNSEEN
+    driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
     first = only_send(driver.arrive(1))
-    driver.balancer.retry_tokens = RETRY_UNSEEN
-    assert len(sends(driver.settle(first, Status.FULL))) == 1
-    driver.balancer.retry_tokens = RETRY_UNSEEN
-    assert not sends(driver.settle(only_send(driver.arrive(2)), Status.ERROR))
+    driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
+    assert len(sends(driver.finish(first, Status.FULL))) == 1
+    driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
+    assert not sends(driver.finish(only_send(driver.arrive(2)), Status.ERROR))
 
 
 def test_a_broken_connection_does_not_change_the_speed_of_its_server_and_old_samples_fade() -> None:
     # Seen there too: each reset counted as 8 mean latencies, and a server without calls kept that for 16 s.
     driver = Driver(settings(), servers=entries(1))
-    driver.settle(only_send(driver.arrive(1, "once")), Status.OK)
+    driver.finish(only_send(driver.arrive(1, "once")), Status.OK)
     server = driver.balancer.servers.known[1]
     before = server.latency_sum, server.load_sum
-    driver.settle(only_send(driver.arrive(2, "once")), Status.RESET)
+    driver.finish(only_send(driver.arrive(2, "once")), Status.RESET)
     assert (server.latency_sum, server.load_sum) == before
-    driver.wait(PACE_MEMORY)
+    driver.wait(CAPACITY_DECAY_TIME)
     assert server.load_sum == pytest.approx(before[1] / 2.71828, rel=0.01)
     assert server.latency_sum / server.load_sum == pytest.approx(before[0] / before[1])
 
@@ -835,9 +835,9 @@
         driver = Driver(settings(may_probe=False), servers=entries(1, 2))
         first = only_send(driver.arrive(1))
         for call in range(2, 12):  # one server has an open connection; new ones are slow or not
-            driver.settle(first, Status.OK, elapsed=0.1)
-            driver.balancer.servers.on_new.add(new_cost, 30)
-            driver.balancer.servers.on_open.add(1.0, 30)
+            driver.finish(first, Status.OK, elapsed=0.1)
+            driver.balancer.servers.new_latency.add(new_cost, 30)
+            driver.balancer.servers.open_latency.add(1.0, 30)
             first = only_send(driver.arrive(call))
         return int(only_send(driver.arrive(12)).server == first.server)
 
