--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -15,12 +15,12 @@
 
 Fields = dict[str, str]
 
-STATES = {
+SERVER_STATES = {
     "SERVING": api.ServerState.SERVING,
     "DRAINING": api.ServerState.DRAINING,
     "DELETED": api.ServerState.GONE,
 }
-KINDS = {
+LIST_KINDS = {
     "SAVED": api.ListKind.SAVED,
     "FULL": api.ListKind.FULL,
     "INCREMENTAL": api.ListKind.INCREMENTAL,
@@ -29,10 +29,10 @@
 
 
 REPORT_NAMES = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")
-WEIGHTS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
-WORTH_BY = {"work": "work", "request": "request"}
-REPORT_VIA = {"inline": "answer", "on_probe": "probe", "off": "none"}
-OUT_OF_PLACE = ("m", "tick", "eor")
+WEIGHT_SOURCES = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
+UTILITY_UNITS = {"work": "work", "request": "request"}
+REPORT_CHANNELS = {"inline": "answer", "on_probe": "probe", "off": "none"}
+NON_EVENT_TAGS = ("m", "tick", "eor")
 
 
 class WireError(Exception):
@@ -46,7 +46,7 @@
         raise WireError("a part is not of the form name=value") from None
 
 
-def _get(fields: Fields, key: str) -> str:
+def _text(fields: Fields, key: str) -> str:
     try:
         return fields[key]
     except KeyError:
@@ -88,7 +88,7 @@
     raise WireError(f"field {key} is " + ("missing" if text is None else f"not a truth value: {text!r}"))
 
 
-def _whole(fields: Fields, key: str, default: int) -> int:
+def _int_or(fields: Fields, key: str, default: int) -> int:
     return _int(fields, key) if key in fields else default
 
 
@@ -101,7 +101,7 @@
     return words[text]
 
 
-def _report(fields: Fields) -> dict[str, float] | None:
+def _load_report(fields: Fields) -> dict[str, float] | None:
     text = fields.get("load")
     if not text or text == "-":
         return None
@@ -125,7 +125,7 @@
     return status
 
 
-def _names(text: str) -> tuple[str, ...]:
+def _split_names(text: str) -> tuple[str, ...]:
     return tuple(name for name in text.split(",") if name)
 
 
@@ -133,20 +133,20 @@
     """Settings from the flat path=value pairs; unknown keys are skipped, missing ones raise ValueError."""
     try:
         return _settings(params)
-    except WireError as fault:
-        raise ValueError(str(fault).replace("field", "setting", 1)) from None
+    except WireError as error:
+        raise ValueError(str(error).replace("field", "setting", 1)) from None
 
 
 def _settings(params: Fields) -> api.Settings:
     classes = []
     for n in range(_int(params, "grades.count")):
         path = f"grades.{n}."
-        effect = _get(params, path + "effect")
+        effect = _text(params, path + "effect")
         if effect not in ("repeatable", "by_key", "once"):
             raise ValueError(f"setting {path}effect is out of range: {effect!r}")
         classes.append(
             api.RequestClass(
-                name=_get(params, path + "name"),
+                name=_text(params, path + "name"),
                 worth=_number(params, path + "value"),
                 aim=_number(params, path + "objective"),
                 deadline=_number(params, path + "deadline"),
@@ -159,11 +159,11 @@
             )
         )
     tenants = []
-    for n in range(_whole(params, "tenants.count", 0)):
+    for n in range(_int_or(params, "tenants.count", 0)):
         path = f"tenants.{n}."
         quota, share = _number(params, path + "quota_rps"), _number(params, path + "portion", 0.0)
-        tenants.append(api.Tenant(_get(params, path + "name"), quota, share))
-    discovery = _get(params, "discovery")
+        tenants.append(api.Tenant(_text(params, path + "name"), quota, share))
+    discovery = _text(params, "discovery")
     if discovery not in ("push", "ask"):
         raise ValueError(f"setting discovery is out of range: {discovery!r}")
     limits = "policy_limits."
@@ -173,10 +173,10 @@
         zone=params.get("zone", ""),
         me=_int(params, "me"),
         balancers=_int(params, "balancers"),
-        stage=_whole(params, "stage", 0),
-        stages=len(_names(params.get("stages", ""))) or _whole(params, "stage", 0) + 1,
-        zones=_names(params.get("dcs", "")),
-        kinds=_names(params.get("kinds", "")),
+        stage=_int_or(params, "stage", 0),
+        stages=len(_split_names(params.get("stages", ""))) or _int_or(params, "stage", 0) + 1,
+        zones=_split_names(params.get("dcs", "")),
+        kinds=_split_names(params.get("kinds", "")),
         quantum=_number(params, "quantum", 0.0),
         ask_for_list=discovery == "ask",
         must_ask_within=_number(params, "contract.must_ask_in", 10.0),
@@ -185,18 +185,18 @@
         may_cancel=_bool(params, limits + "may_cancel"),
         may_probe=_bool(params, limits + "probes"),
         may_tell=_bool(params, limits + "peers", False),
-        most_held=_whole(params, limits + "most_held", 0),
+        most_held=_int_or(params, limits + "most_held", 0),
         clients_mark_retries=_bool(params, "callers.marks_retry", False),
         may_advise_wait=_bool(params, limits + "retry_after", False),
         max_wait_advice=_number(params, limits + "max_retry_after", 0.0),
         over_share_worth=_number(params, "over_share_worth", 1.0),
-        worth_by_work=_choice(params, "worth_by", WORTH_BY, "request") == "work",
+        worth_by_work=_choice(params, "worth_by", UTILITY_UNITS, "request") == "work",
         passes_deadline=_bool(params, "specifics.passes_deadline", False),
-        report_names=tuple(n for n in _names(params.get("report.names", "")) if n in REPORT_NAMES),
-        reports=_choice(params, "report.via", REPORT_VIA, "probe"),
-        weights=_choice(params, "weights", WEIGHTS, "nominal"),
+        report_names=tuple(n for n in _split_names(params.get("report.names", "")) if n in REPORT_NAMES),
+        reports=_choice(params, "report.via", REPORT_CHANNELS, "probe"),
+        weights=_choice(params, "weights", WEIGHT_SOURCES, "nominal"),
         connect_timeout=_number(params, limits + "connect_timeout", 0.25),
-        calls_per_connection=_whole(params, limits + "streams_per_conn", 1),
+        calls_per_connection=_int_or(params, limits + "streams_per_conn", 1),
         cpu_per_s=_number(params, limits + "cpu_us_per_s", 0.0) / 1e6,
         cpu_per_call=_number(params, limits + "cpu_us_per_request", 0.0) / 1e6,
         goal_whole=_number(params, "objective_mix.whole", 1.0),
@@ -226,15 +226,15 @@
     if tag != "m":
         raise WireError("a list entry was due")
     fields = _split(parts)
-    state = _get(fields, "state")
-    if state not in STATES:
+    state = _text(fields, "state")
+    if state not in SERVER_STATES:
         raise WireError(f"field state is unknown: {state!r}")
     return api.ServerEntry(
         server=_int(fields, "backend"),
         zone=fields.get("campus", ""),
         kind=fields.get("sku", ""),
-        cell=_whole(fields, "bay", 0),
-        state=STATES[state],
+        cell=_int_or(fields, "bay", 0),
+        state=SERVER_STATES[state],
         weight=_number(fields, "power_hint", 1.0),
         started_at=_number(fields, "boot_time", 0.0),
     )
@@ -243,7 +243,7 @@
 def _arrival(fields: Fields) -> api.Event:
     return api.Arrival(
         _int(fields, "call"),
-        _get(fields, "cls"),
+        _text(fields, "cls"),
         _number(fields, "time_budget"),
         fields.get("party", ""),
         _number(fields, "estimate", 0.0),
@@ -261,7 +261,7 @@
         _status(fields),
         _number(fields, "cost_time"),
         _bool(fields, "final", False),
-        _report(fields),
+        _load_report(fields),
     )
 
 
@@ -274,13 +274,13 @@
     )
 
 
-def _gone(fields: Fields) -> api.Event:
+def _caller_gone(fields: Fields) -> api.Event:
     return api.Gone(_int(fields, "call"))
 
 
 def _probed(fields: Fields) -> api.Event:
     return api.Probed(
-        _int(fields, "backend"), _status(fields), _number(fields, "cost_time", 0.0), _report(fields)
+        _int(fields, "backend"), _status(fields), _number(fields, "cost_time", 0.0), _load_report(fields)
     )
 
 
@@ -289,7 +289,7 @@
 
 
 def _peer(fields: Fields) -> api.Event:
-    text = _get(fields, "data")
+    text = _text(fields, "data")
     try:
         data = b"" if text == "-" else bytes.fromhex(text)
     except ValueError:
@@ -297,11 +297,11 @@
     return api.PeerMessage(_int(fields, "author"), data)
 
 
-READERS = {
+EVENT_READERS = {
     "ingress": _arrival,
     "settled": _outcome,
     "first": _stream,
-    "hangup": _gone,
+    "hangup": _caller_gone,
     "pong": _probed,
     "wakeup": _timer,
     "datagram": _peer,
@@ -310,10 +310,10 @@
 
 def write_action(who: str, action: api.Action) -> str:
     kind = type(action).__name__
-    return WRITERS[kind](who, action)
+    return ACTION_WRITERS[kind](who, action)
 
 
-WRITERS: dict[str, Callable[[str, Any], str]] = {
+ACTION_WRITERS: dict[str, Callable[[str, Any], str]] = {
     "Send": lambda w, a: f"try who={w} call={a.call} backend={a.server} allow_for={a.timeout:.6f}",
     "Refuse": lambda w, a: f"bounce who={w} call={a.call}"
     + (f" come_back={a.retry_after:.6f}" if a.retry_after > 0 else ""),
@@ -364,7 +364,7 @@
                 raise WireError("a tick was due")
             fields = _split(rest.split(" "))
             self.now = _number(fields, "clock")
-            seq = _get(fields, "seq")
+            seq = _text(fields, "seq")
             self.read_batch()
             for who in list(self.pending):
                 self.flush(who)
@@ -374,7 +374,7 @@
             self.replies.clear()
 
     def read_batch(self) -> None:
-        readers, pending, readline = READERS, self.pending, self.source.readline
+        readers, pending, readline = EVENT_READERS, self.pending, self.source.readline
         while True:
             line = readline()
             if not line:
@@ -389,7 +389,7 @@
             if reader is not None:
                 fields = _split(parts[1:])
                 event = reader(fields)
-                who = _get(fields, "who")
+                who = _text(fields, "who")
                 if who in pending:
                     pending[who].append(event)
                 elif who in self.instances:
@@ -402,16 +402,16 @@
                 self.on_manifest(_split(parts[1:]))
             elif tag == "new_instance":
                 fields = _split(parts[1:])
-                who = _get(fields, "who")
+                who = _text(fields, "who")
                 self.pending.pop(who, None)
                 settings = read_settings(fields)
                 self.instances[who] = Balancer(settings, _int(fields, "entropy"))
                 pending[who] = []
             elif tag == "stop":
-                who = _get(_split(parts[1:]), "who")
+                who = _text(_split(parts[1:]), "who")
                 pending.pop(who, None)
                 self.instances.pop(who, None)
-            elif not tag or tag in OUT_OF_PLACE:
+            elif not tag or tag in NON_EVENT_TAGS:
                 raise WireError("an event was due")
 
     def on_manifest(self, fields: Fields) -> None:
@@ -428,11 +428,11 @@
         self.lists[slot] = entries
 
     def on_list(self, fields: Fields) -> None:
-        who = _get(fields, "who")
-        scope = _get(fields, "scope")
-        if scope not in KINDS:
+        who = _text(fields, "who")
+        scope = _text(fields, "scope")
+        if scope not in LIST_KINDS:
             raise WireError(f"field scope is unknown: {scope!r}")
-        kind = KINDS[scope]
+        kind = LIST_KINDS[scope]
         entries: list[api.ServerEntry] = []
         if kind is not api.ListKind.FAILED:
             slot = _int(fields, "slot")
@@ -440,7 +440,7 @@
                 raise WireError(f"field slot names no list: {slot}")
             entries = self.lists[slot]
         if who in self.instances:
-            version = _whole(fields, "stamp", 0)
+            version = _int_or(fields, "stamp", 0)
             self.pending.setdefault(who, []).append(api.ServerList(kind, entries, version))
 
     def flush(self, who: str) -> None:
@@ -448,9 +448,9 @@
         try:
             for action in self.instances[who].handle(self.now, events):
                 self.replies.append(write_action(who, action))
-        except Exception as fault:
+        except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            text = " ".join(f"{type(fault).__name__}: {fault}".split())
+            text = " ".join(f"{type(error).__name__}: {error}".split())
             self.replies.append(f"fatal who={who} words={text}")
 
 
@@ -462,9 +462,9 @@
     host = Host(sys.stdin, sys.stdout)
     try:
         host.run()
-    except (WireError, ValueError) as fault:
+    except (WireError, ValueError) as error:
         shown = host.line[:300].encode("ascii", "backslashreplace").decode()
-        print(f"granitepoint: {fault} in line: {shown}", file=sys.stderr)
+        print(f"granitepoint: {error} in line: {shown}", file=sys.stderr)
         return 2
     return 0
 
--- a/granitepoint/cli/check.py
+++ b/granitepoint/cli/check.py
@@ -16,10 +16,10 @@
 
 from granitepoint.benchlink import read_settings
 from granitepoint.cli import schema
-from granitepoint.net.config import flatten, own_address, read_seed
+from granitepoint.net.config import flatten_settings, parse_ipv4_address, parse_seed
 from granitepoint.net.listing import read_listing
-from granitepoint.net.logs import chosen
-from granitepoint.net.server import BASE_MEMORY
+from granitepoint.net.logs import read_log_options
+from granitepoint.net.server import BASE_MEMORY_MB
 
 LARGEST = 64 << 20  # bytes of a file; a list of 100,000 servers takes a third of it
 DEEPEST = 5  # names in a path: one more than settings.grades.0.name has
@@ -250,7 +250,7 @@
     if not isinstance(raw, dict):
         return Reading([], [Finding(OUT_OF_RANGE, "settings", "missing, or not an object")])
     try:
-        pairs = flatten(raw)
+        pairs = flatten_settings(raw)
     except RecursionError:
         return Reading([], [Finding(OUT_OF_RANGE, "settings", "nested too deeply")])
     reader = _Settings({f"settings.{path}": text for path, text in pairs.items()})
@@ -290,7 +290,7 @@
                 self.fault(key, "missing")
                 continue
             try:
-                own_address(told or self.raw.get(key))
+                parse_ipv4_address(told or self.raw.get(key))
                 self.put(key, told or self.raw.get(key), source=variable if told else "file")
             except ValueError as fault:
                 self.fault(key, _said(fault) + f", from {variable}" * bool(told))
@@ -307,7 +307,7 @@
         for variable, default in (("EDGE_LOG_FORMAT", "text"), ("EDGE_LOG_LEVEL", "info")):
             told = self.environ.get(variable)
             try:
-                chosen({variable: told or ""})
+                read_log_options({variable: told or ""})
                 self.put(variable, told or default, source=variable if told else "default")
             except ValueError as fault:
                 self.fault(variable, _said(fault))
@@ -315,7 +315,7 @@
     def seed(self) -> None:
         seed = self.raw.get("seed", 0)
         try:
-            value = read_seed(seed)
+            value = parse_seed(seed)
             self.put("seed", f"{value:x}", "hex", "file" if "seed" in self.raw else "default")
         except (ValueError, RecursionError):
             self.fault("seed", f"{shown(seed)} is no whole number or hex digits, of 256 bits at most")
@@ -404,8 +404,8 @@
         yield "settings.me", "not less than balancers"
     if 0 < len(values.get("settings.stages", ())) <= values.get("settings.stage", 0):
         yield "settings.stage", "not a place in stages"
-    if values.get("limits.memory_mb", math.inf) <= BASE_MEMORY:
-        yield "limits.memory_mb", f"the process alone takes {BASE_MEMORY} MB"
+    if values.get("limits.memory_mb", math.inf) <= BASE_MEMORY_MB:
+        yield "limits.memory_mb", f"the process alone takes {BASE_MEMORY_MB} MB"
     for path, value in values.items():
         item, _, last = path.rpartition(".")
         if last == "deadline" and values.get(item + ".objective", 0.0) > value:
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -170,18 +170,18 @@
     settings = config.settings
     most = int(config.sockets * upstream.UPSTREAM_SHARE)
     servers = upstream.Upstreams(settings.connect_timeout, settings.conn_idle, most)
-    reserve = min(server.RESERVE, config.sockets // 10)
-    extra = callers.most_ever - callers.most_open
-    long_kb = server.LONG_BODY // 1024
+    reserve = min(server.RESERVED_DESCRIPTORS, config.sockets // 10)
+    extra = callers.max_connections - callers.max_served_connections
+    long_kb = server.LARGE_BODY_BYTES // 1024
     return Section("connections and memory", [
         Entry("descriptors", config.sockets, "descriptors", "that the process may hold"),
         Entry("to servers", servers.most_open, "descriptors", "at most"),
         Entry("reserve", reserve, "descriptors", "for the listener, discovery, the loop and the log"),
-        Entry("from callers", callers.most_open, "descriptors", f"then {extra} that are told of no room"),
-        Entry("memory", config.memory_mb, "MB", f"of these {server.BASE_MEMORY} before it serves"),
-        Entry("of a caller", server.CALLER_MEMORY, "MB", "at most: a request with its copy, and an answer"),
-        Entry("long requests", callers.most_long, "requests", f"beyond {long_kb} KB, held at once"),
-        Entry("request", server.MOST_BODY // 1024, "KB", "largest body; an answer's too"),
+        Entry("from callers", callers.max_served_connections, "descriptors", f"then {extra} that are told of no room"),
+        Entry("memory", config.memory_mb, "MB", f"of these {server.BASE_MEMORY_MB} before it serves"),
+        Entry("of a caller", server.CONNECTION_MEMORY_MB, "MB", "at most: a request with its copy, and an answer"),
+        Entry("long requests", callers.max_large_requests, "requests", f"beyond {long_kb} KB, held at once"),
+        Entry("request", server.MAX_BODY_BYTES // 1024, "KB", "largest body; an answer's too"),
         Entry("connect", settings.connect_timeout, SECONDS, "after which the server was not reached"),
         Entry("idle", servers.idle_for, SECONDS, "after which a server's connection is closed from here"),
     ])  # fmt: skip
@@ -189,10 +189,10 @@
 
 def _ending(settings: Settings) -> Section:
     longest = max(cls.deadline for cls in settings.classes)
-    by = min(longest, program.LONGEST_WAIT) + program.KILL_SPARE - program.SPARE
-    closing = _rounded(by - program.WIND_DOWN)
+    by = min(longest, program.SHUTDOWN_MAX_DEADLINE_S) + program.SHUTDOWN_KILL_DELAY_S - program.SHUTDOWN_KILL_MARGIN_S
+    closing = _rounded(by - program.SHUTDOWN_CLOSING_S)
     return Section("after SIGTERM", [
-        Entry("listens for", program.LAST_ACCEPT, SECONDS, "further, while the front takes notice"),
+        Entry("listens for", program.SHUTDOWN_ACCEPT_S, SECONDS, "further, while the front takes notice"),
         Entry("winds down", closing, SECONDS, "then each answer closes its connection"),
         Entry("all answered", _rounded(by), SECONDS, "at the latest"),
     ])  # fmt: skip
--- a/granitepoint/fleet/experiment.py
+++ b/granitepoint/fleet/experiment.py
@@ -10,7 +10,7 @@
 
 from granitepoint.benchlink import read_settings
 from granitepoint.interface import Settings
-from granitepoint.net.config import flatten
+from granitepoint.net.config import flatten_settings
 
 
 class ExperimentError(Exception):
@@ -157,7 +157,7 @@
     def module_settings(self) -> Settings:
         raw = {**self.raw_settings(), "me": 0, "balancers": 1}
         try:
-            return read_settings(flatten(raw))
+            return read_settings(flatten_settings(raw))
         except ValueError as fault:
             raise ExperimentError(f"settings: {fault}") from None
 
--- a/granitepoint/fleet/proxies.py
+++ b/granitepoint/fleet/proxies.py
@@ -62,7 +62,7 @@
     __slots__ = ("began",)
 
     def data_received(self, data: bytes) -> None:
-        if not self.inside:
+        if not self.in_message:
             self.began = time.monotonic()
         super().data_received(data)
 
@@ -73,7 +73,7 @@
     ended = False
 
     async def listen(self, host: str, port: int) -> int:
-        self.listener = Listener(host, port, lambda: TimedConnection(self), self._make_room)
+        self.listener = Listener(host, port, lambda: TimedConnection(self), self._evict_connection)
         self._sweep_later()
         return self.listener.port
 
@@ -151,8 +151,8 @@
         super()._probe(action)
 
     # the stages of a call
-    def opened(self, request: Request, reply: Reply) -> OpenCall | None:
-        call = super().opened(request, reply)
+    def on_request(self, request: Request, reply: Reply) -> OpenCall | None:
+        call = super().on_request(request, reply)
         if self.stages is not None and call is not None:
             now = time.monotonic()
             self.marks[call.number] = Marks(getattr(reply, "began", now), now)
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -14,7 +14,7 @@
 
 from granitepoint.benchlink import read_settings
 from granitepoint.fleet.experiment import SETTINGS
-from granitepoint.net.config import Config, flatten
+from granitepoint.net.config import Config, flatten_settings
 from granitepoint.net.driver import Driver
 from granitepoint.net.server import Request
 
@@ -25,7 +25,7 @@
     def answer(self, code: int, headers: Any, body: bytes) -> None:
         pass
 
-    def gone(self) -> bool:
+    def peer_closed(self) -> bool:
         return False
 
 
@@ -37,7 +37,7 @@
     ]  # fmt: skip
     raw = {**SETTINGS, "me": 0, "balancers": 1, "zone": "a"}
     known = {"index": 1, "snapshot": True, "endpoints": entries}
-    config = Config("n0", NOWHERE, NOWHERE, 1, 1024, 192.0, known, read_settings(flatten(raw)))
+    config = Config("n0", NOWHERE, NOWHERE, 1, 1024, 192.0, known, read_settings(flatten_settings(raw)))
     return Driver(config)
 
 
@@ -73,7 +73,7 @@
 
     def take() -> object:
         for number in range(count):
-            driver.opened(_request(number), _NoReply())
+            driver.on_request(_request(number), _NoReply())
         driver.balancer.handle(time.monotonic(), driver.events)
         driver.events = []
         return driver
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -33,7 +33,7 @@
 from granitepoint.fleet.proxies import Hollow, Stages
 from granitepoint.fleet.wire import Listener, Message, split_address
 from granitepoint.net import logs
-from granitepoint.net.config import Config, flatten
+from granitepoint.net.config import Config, flatten_settings
 
 LONGEST_LIFE = 900.0  # s
 
@@ -323,7 +323,7 @@
                 sockets=sizes.sockets,
                 memory_mb=sizes.memory_mb,
                 known=spec.known[f"{plan.service} {plan.region}"],
-                settings=read_settings(flatten(proxy_settings(spec.experiment, plan))),
+                settings=read_settings(flatten_settings(proxy_settings(spec.experiment, plan))),
             )
             self.hollow[plan.name] = Hollow(config, timed=sizes.timed)
         self.before: Counter[str] = Counter()
@@ -539,7 +539,7 @@
 
 def main() -> int:
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run decides when this ends
-    logs.start(sys.stderr, level=logging.ERROR)
+    logs.configure(sys.stderr, level=logging.ERROR)
     asyncio.Runner(loop_factory=uvloop.new_event_loop).run(bounded())
     return 0
 
--- a/granitepoint/modelcheck/proxy.py
+++ b/granitepoint/modelcheck/proxy.py
@@ -311,7 +311,7 @@
     # the clients
     def client(self) -> Client | None:
         """None: nobody listens any more."""
-        if self.clock.now > self.told_to_end_at + program.LAST_ACCEPT:
+        if self.clock.now > self.told_to_end_at + program.SHUTDOWN_ACCEPT_S:
             return None
         client = Client(self)
 
@@ -463,7 +463,7 @@
             "calls": len(self.driver.calls),
             # The process ends on attempts whose callers have left: nobody waits for these.
             "ids beside those of attempts": len(self.driver.ids) - len(self.driver.out),
-            "connections of callers": sum(not each.leaving for each in self.server.connections),
+            "connections of callers": sum(not each.closing for each in self.server.connections),
         }
         if any(left.values()):
             raise RuleBroken("kept", f"left open: {left}")
--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -16,7 +16,7 @@
 from granitepoint.net import logs
 
 Address = tuple[str, int]
-MOST_SEED = 1 << 256
+MAX_SEED = 1 << 256
 
 
 class ConfigError(Exception):
@@ -33,10 +33,10 @@
     memory_mb: float
     known: Mapping[str, Any]  # the list of backends as last held, in discovery's form
     settings: Settings
-    logs: tuple[logs.Format, int] = (logs.Format.TEXT, logging.INFO)  # how, and from which level on
+    log_options: tuple[logs.Format, int] = (logs.Format.TEXT, logging.INFO)  # how, and from which level on
 
 
-def address(text: object) -> Address:
+def parse_address(text: object) -> Address:
     """`host:port` with a numeric host; there is no DNS."""
     if not isinstance(text, str):
         raise ValueError(f"not an address: {text!r}")
@@ -46,22 +46,22 @@
     return host.strip("[]"), int(port)
 
 
-def own_address(text: object) -> Address:
+def parse_ipv4_address(text: object) -> Address:
     """Where this proxy listens, or asks: sockets are IPv4 alone, and a name would be looked up nowhere."""
-    host, port = address(text)
+    host, port = parse_address(text)
     return str(IPv4Address(host)), port
 
 
-def flatten(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
+def flatten_settings(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
     """The settings object as the simulator's flat path=value pairs, so that both have one reader."""
     pairs = {} if into is None else into
     if isinstance(value, dict):
         for key, item in value.items():
-            flatten(item, f"{path}.{key}" if path else str(key), pairs)
+            flatten_settings(item, f"{path}.{key}" if path else str(key), pairs)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         pairs[path + ".count"] = str(len(value))
         for number, item in enumerate(value):
-            flatten(item, f"{path}.{number}", pairs)
+            flatten_settings(item, f"{path}.{number}", pairs)
     elif isinstance(value, list):
         pairs[path] = ",".join(str(item) for item in value)
         if not value:
@@ -73,9 +73,9 @@
     return pairs
 
 
-def read_seed(text: object) -> int:
+def parse_seed(text: object) -> int:
     seed = int(text, 16) if isinstance(text, str) else int(str(text))
-    if abs(seed) >= MOST_SEED:
+    if abs(seed) >= MAX_SEED:
         raise ValueError("no such seed: over 256 bits")
     return seed
 
@@ -90,9 +90,9 @@
     return raw
 
 
-def _error(fault: Exception) -> ConfigError:
+def _config_error(error: Exception) -> ConfigError:
     """One line, and no control characters of what the file holds."""
-    text = " ".join(f"bad configuration: {fault}".split())
+    text = " ".join(f"bad configuration: {error}".split())
     return ConfigError("".join(char if char.isprintable() else ascii(char)[1:-1] for char in text))
 
 
@@ -104,10 +104,10 @@
         limits = raw.get("limits") or {}
         if not isinstance(known, dict) or not isinstance(limits, dict):
             raise ValueError("known and limits must be objects")
-        soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        if soft == resource.RLIM_INFINITY:
-            soft = 1 << 20
-        sockets = min(int(limits.get("sockets", soft)), soft)
+        soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        if soft_limit == resource.RLIM_INFINITY:
+            soft_limit = 1 << 20
+        sockets = min(int(limits.get("sockets", soft_limit)), soft_limit)
         if sockets < 64:
             raise ValueError(f"too few sockets: {sockets}")
         memory_mb = float(limits.get("memory_mb", 192))
@@ -115,23 +115,23 @@
             raise ValueError(f"no such memory: {memory_mb}")
         return Config(
             name=environ.get("EDGE_NAME") or str(raw.get("name", "")),
-            listen=own_address(environ.get("EDGE_LISTEN") or raw.get("listen")),
-            discovery=own_address(environ.get("EDGE_DISCOVERY") or raw.get("discovery")),
-            seed=read_seed(raw.get("seed", 0)),
+            listen=parse_ipv4_address(environ.get("EDGE_LISTEN") or raw.get("listen")),
+            discovery=parse_ipv4_address(environ.get("EDGE_DISCOVERY") or raw.get("discovery")),
+            seed=parse_seed(raw.get("seed", 0)),
             sockets=sockets,
             memory_mb=memory_mb,
             known=known,
-            settings=read_settings(flatten(raw["settings"])),
-            logs=logs.chosen(environ),
+            settings=read_settings(flatten_settings(raw["settings"])),
+            log_options=logs.read_log_options(environ),
         )
-    except (OSError, ValueError, TypeError, AttributeError, OverflowError, RecursionError) as fault:
-        raise _error(fault) from None
+    except (OSError, ValueError, TypeError, AttributeError, OverflowError, RecursionError) as error:
+        raise _config_error(error) from None
 
 
-def reread_discovery(environ: Mapping[str, str]) -> Address:
+def reload_discovery_address(environ: Mapping[str, str]) -> Address:
     """The address of discovery as the file has it now. EDGE_DISCOVERY does not override it: a process keeps
     the variables it was started with, so a reload could never change anything."""
     try:
-        return own_address(_read_file(environ).get("discovery"))
-    except (OSError, ValueError, RecursionError) as fault:
-        raise _error(fault) from None
+        return parse_ipv4_address(_read_file(environ).get("discovery"))
+    except (OSError, ValueError, RecursionError) as error:
+        raise _config_error(error) from None
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -20,9 +20,9 @@
 from granitepoint.net.config import Address
 from granitepoint.net.discovery_channel import Channel, tell_failure
 from granitepoint.net.listing import Listing, read_listing
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 
-log = Events(__name__)
+log = EventLogger(__name__)
 
 RENEW = 18.0  # s after which a watch that has said nothing is asked anew: it may have fallen silent
 HOLD_MS = 25_000  # how long a watch may wait; what a silent one misses counts as told 2 s after that
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -22,7 +22,7 @@
 from granitepoint.net.config import Config, ConfigError
 from granitepoint.net.discovery import Discovery
 from granitepoint.net.listing import Listing, read_listing
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 from granitepoint.net.server import Headers, Reply, Request
 from granitepoint.net.upstream import (
     HOP_BY_HOP,
@@ -34,7 +34,7 @@
     Upstreams,
 )
 
-log = Events(__name__)
+log = EventLogger(__name__)
 
 LEAST_MARGIN = 0.02  # s before a caller's deadline at which its answer leaves at the latest
 MOST_MARGIN = 0.15  # s
@@ -109,7 +109,7 @@
         self.flush_at: asyncio.Handle | None = None
         self.flushed = 0.0
         self.end_by = math.inf  # when the process is to end: what comes now is answered by then
-        self.tracing = log.debugging  # each request's own lines are wanted
+        self.tracing = log.debug_enabled  # each request's own lines are wanted
         self.counts: Counter[str] = Counter()  # what came and how it ended, since the last line of figures
         self.lag = 0.0  # s, how late this loop was lately
         self.on_empty: Callable[[], None] | None = None
@@ -274,7 +274,7 @@
         self.was_ready = self.was_ready or lease.valid(now) or now > self.started_at + READY_BY
         return self.was_ready and self.upstreams.ready
 
-    def opened(self, request: Request, reply: Reply) -> OpenCall | None:
+    def on_request(self, request: Request, reply: Reply) -> OpenCall | None:
         if request.id in self.ids:
             # An earlier one of this name is still out, and a second copy could run beside it.
             reply.answer(409, (), b"this X-Call-Id is in use\n")
@@ -292,7 +292,7 @@
         stated = min(request.budget, self.deadlines[request.cls])
         spare = MARGIN_SHARE * stated
         margin = min(MOST_MARGIN, min(LEAST_MARGIN, spare) + 2 * self.lag)
-        deadline = request.came + stated - margin
+        deadline = request.received_at + stated - margin
         call = OpenCall(number, request, reply, min(deadline, self.end_by))
         self.calls[number] = call
         self.ids.add(request.id)
@@ -306,7 +306,7 @@
                 tenant=request.tenant,
                 work=request.work,
                 resent=request.resent,
-                key=request.subject,
+                key=request.session_id,
                 stated=stated,
             )
         )
@@ -317,7 +317,7 @@
         wait = min(wait, self.settings.max_wait_advice) if self.settings.may_advise_wait else 0.0
         return ((b"retry-after", b"%.3f" % wait),) if wait > 0 else ()
 
-    def left(self, call: OpenCall) -> None:
+    def on_disconnect(self, call: OpenCall) -> None:
         if call.open:
             if self.tracing:
                 log.debug("caller_left", id=call.request.id)
@@ -379,8 +379,8 @@
             return sent.head + b"x-budget: %du\r\n\r\n" % max(1, int(left * 1e6)) + sent.body
 
         def may_start() -> bool:
-            if call.open and call.reply.gone():
-                self.left(call)
+            if call.open and call.reply.peer_closed():
+                self.on_disconnect(call)
             # The list may have grown too old during the connect, or while this process was held up.
             return call.open and upstream.serving and self.balancer.list_lease.valid(time.monotonic())
 
--- a/granitepoint/net/listener.py
+++ b/granitepoint/net/listener.py
@@ -12,15 +12,15 @@
 import socket
 from collections.abc import Callable
 
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 
-log = Events(__name__)
+log = EventLogger(__name__)
 
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPT_PAUSE = 0.01  # s until accept is called again after it said that this machine lacks something
+ACCEPT_RETRY_DELAY_S = 0.01  # s until accept is called again after it said that this machine lacks something
 # Errors of the connection that was waiting, which is gone with them. All others are of this machine, for a
 # moment: nothing that waits is lost by waiting on.
-OF_THE_PEER = frozenset(
+PEER_ERRNOS = frozenset(
     (
         errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
         errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.EPERM, errno.ETIMEDOUT,
@@ -33,36 +33,40 @@
     """An open address, until it is closed. Each connection gets a protocol of its own."""
 
     def __init__(
-        self, host: str, port: int, protocol: Callable[[], asyncio.Protocol], make_room: Callable[[], object]
+        self,
+        host: str,
+        port: int,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        evict_connection: Callable[[], object],
     ) -> None:
         """`make_room` is asked to give up a connection where this process has no descriptor left. Raises
         OSError where the address can't be had."""
         self.loop = asyncio.get_running_loop()
-        self.protocol, self.make_room = protocol, make_room
+        self.protocol_factory, self.evict_connection = protocol_factory, evict_connection
         # Given a name, even a numeric one, the loop starts four threads to look it up, and keeps them.
         self.socket = socket.create_server((host, port), backlog=BACKLOG)
         self.socket.setblocking(False)
         self.port = int(self.socket.getsockname()[1])
-        self.adopting: set[asyncio.Task[None]] = set()  # accepted, and not yet connections of the loop
-        self.retry: asyncio.TimerHandle | None = None
+        self.attaching: set[asyncio.Task[None]] = set()  # accepted, and not yet connections of the loop
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.closed = False
         self.loop.add_reader(self.socket, self._accept)
 
     @property
-    def pending(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether something that has connected is not yet a connection of the loop."""
         if self.closed:
-            return bool(self.adopting)
+            return bool(self.attaching)
         poll = select.poll()
         poll.register(self.socket.fileno(), select.POLLIN)
-        return bool(self.adopting or poll.poll(0))
+        return bool(self.attaching or poll.poll(0))
 
     def close(self) -> None:
         """What the kernel holds for it is reset: see `pending`."""
         if not self.closed:
             self.closed = True
-            if self.retry is not None:
-                self.retry.cancel()
+            if self.retry_timer is not None:
+                self.retry_timer.cancel()
             self.loop.remove_reader(self.socket)
             self.socket.close()
 
@@ -70,39 +74,39 @@
         """One in a turn of the loop, and the next once it is a connection: what those before it ask is read
         and answered meanwhile, so that they can make room. Accepted all at once, those past the bound on
         connections were reset with their requests unread."""
-        if self.adopting:
+        if self.attaching:
             return
         try:
             accepted, _ = self.socket.accept()
         except (BlockingIOError, InterruptedError):
             return
-        except OSError as fault:
-            if fault.errno not in OF_THE_PEER:
-                self._wait(fault)
+        except OSError as error:
+            if error.errno not in PEER_ERRNOS:
+                self._retry_later(error)
             return
-        task = self.loop.create_task(self._adopt(accepted))
-        self.adopting.add(task)
-        task.add_done_callback(self.adopting.discard)
+        task = self.loop.create_task(self._attach(accepted))
+        self.attaching.add(task)
+        task.add_done_callback(self.attaching.discard)
 
-    def _wait(self, fault: OSError) -> None:
+    def _retry_later(self, error: OSError) -> None:
         """Looked at again after a pause: the socket stays readable, and the loop would spin."""
-        log.warning("accept_failed", fault=str(fault), again_s=ACCEPT_PAUSE)
-        if fault.errno == OUT_OF_DESCRIPTORS:
-            self.make_room()
+        log.warning("accept_failed", fault=str(error), again_s=ACCEPT_RETRY_DELAY_S)
+        if error.errno == OUT_OF_DESCRIPTORS:
+            self.evict_connection()
         self.loop.remove_reader(self.socket)
-        self.retry = self.loop.call_later(ACCEPT_PAUSE, self._resume)
+        self.retry_timer = self.loop.call_later(ACCEPT_RETRY_DELAY_S, self._resume)
 
     def _resume(self) -> None:
-        self.retry = None
+        self.retry_timer = None
         self.loop.add_reader(self.socket, self._accept)
         self._accept()
 
-    async def _adopt(self, accepted: socket.socket) -> None:
+    async def _attach(self, accepted: socket.socket) -> None:
         try:
             accepted.setblocking(False)
             # Small answers would wait for the peer's acknowledgement, and go with a reset.
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(self.protocol, accepted)
-        except OSError as fault:
-            log.warning("connection_lost_at_accept", fault=str(fault))
+            await self.loop.connect_accepted_socket(self.protocol_factory, accepted)
+        except OSError as error:
+            log.warning("connection_lost_at_accept", fault=str(error))
             accepted.close()
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -11,7 +11,7 @@
 
 from granitepoint.interface import ServerEntry, ServerState
 from granitepoint.membership.start_times import StartTimes
-from granitepoint.net.config import Address, address
+from granitepoint.net.config import Address, parse_address
 
 MS = 1000  # of a second
 
@@ -79,4 +79,4 @@
     )
     if not math.isfinite(entry.weight):
         raise ValueError("a figure of the list is not finite")
-    return Listed(address(item["address"]), entry)
+    return Listed(parse_address(item["address"]), entry)
--- a/granitepoint/net/server.py
+++ b/granitepoint/net/server.py
@@ -1,4 +1,4 @@
-"""The callers' side: reads requests, and writes the one answer of each."""
+"""The server for callers: reads their requests and writes exactly one answer to each."""
 
 from __future__ import annotations
 
@@ -16,35 +16,44 @@
 
 from granitepoint.interface import Effect
 from granitepoint.net.listener import Listener
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 from granitepoint.net.upstream import HOP_BY_HOP, LATE, ONE_TURN, UPSTREAM_SHARE, clean
 
-log = Events(__name__)
-
-MOST_BODY = 256 * 1024  # bytes of a request
-LONG_BODY = 64 * 1024  # bytes beyond which it is a long one; few are held at once
-MOST_HEAD = 32 * 1024  # bytes of its target and headers
-MOST_RAW = MOST_HEAD + 2 * MOST_BODY  # bytes of a request as it comes, chunk by chunk
-MOST_AHEAD = 16 * 1024  # bytes read ahead of the answers; what is read later seems to have come later
-WHOLE = 2.2  # s from the connect, or from a further request's first byte, to a whole request
-KEPT = 5.0  # s after an answer for which a connection that asks nothing more is kept
-LINGER = 2.0  # s in which a last answer must have been taken; what still comes meanwhile is dropped
-SWEEP = 0.1  # s between looks for connections whose time is up
-RESERVE = 24  # descriptors for the listener, discovery, the loop and the log, at 240 and more
-# Who makes room, in this order: who has asked nothing yet (fresh) or no more (kept), or had its last answer
-# (leaving), which may still be on its way, for so many s.
-YIELDS = (("fresh", 0.3), ("kept", 2.0), ("leaving", 0.5), ("fresh", 0.05), ("kept", 0.5), ("leaving", 0.0))
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the other side has closed or reset
-LOOKED_AT = 8  # of these at most, for one in whose socket no request lies
-EXTRA_SHARE = 0.12  # of the callers' connections, where a newcomer is told that there is no room
-BASE_MEMORY = 20  # MB of the process before it serves
-LONG_SHARE = 0.1  # of the memory beyond that, for long requests
-CALLER_MEMORY = 0.125  # MB that a connection may hold: a request with its copy, and an answer
-UNCLEAN = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # in a header's value
-TARGET = re.compile(rb"/[\x21-\x7e]*")
-BUDGET = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
-REPLACED = HOP_BY_HOP | {b"x-budget", b"expect", b"x-load-report"}
-REASONS = {
+log = EventLogger(__name__)
+
+MAX_BODY_BYTES = 256 * 1024  # of one request
+LARGE_BODY_BYTES = 64 * 1024  # a body above this is large; only max_large_requests are held at once
+MAX_HEAD_BYTES = 32 * 1024  # target and headers of one request
+MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES  # as received, with the chunked framing
+# Pipelined bytes read while an answer is pending. A request left in the socket beyond this limit gets a later
+# received_at than its real arrival, so its deadline is computed too late.
+MAX_READ_AHEAD_BYTES = 16 * 1024
+# From the connect, or from the first byte of a further request, until the request is complete.
+REQUEST_READ_TIMEOUT_S = 2.2
+KEEP_ALIVE_TIMEOUT_S = 5.0  # from an answer until an idle connection is closed
+LINGER_TIMEOUT_S = 2.0  # for the peer to receive its last answer; input that arrives meanwhile is discarded
+SWEEP_INTERVAL_S = 0.1  # between checks for timed-out connections
+# For the listener, discovery, the event loop and the log; a tenth of the descriptor limit where that is less.
+RESERVED_DESCRIPTORS = 24
+# At the connection limit, connections are evicted in this order: (table, minimum time in that table in s).
+# A closing connection may still be sending its last answer, so it is given time before it is evicted.
+EVICTION_ORDER = (
+    ("awaiting_request", 0.3), ("idle", 2.0), ("closing", 0.5),
+    ("awaiting_request", 0.05), ("idle", 0.5), ("closing", 0.0),
+)  # fmt: skip
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # closed or reset
+# Connections checked per entry of EVICTION_ORDER; one with unread data, maybe a request, is not evicted.
+MAX_EVICTION_CHECKS = 8
+# Share of the caller connections that is kept for connections over the limit, whose requests are refused.
+OVER_LIMIT_SHARE = 0.12
+BASE_MEMORY_MB = 20  # used by the process before it serves requests
+LARGE_BODY_MEMORY_SHARE = 0.1  # of the memory above BASE_MEMORY_MB, for large requests
+CONNECTION_MEMORY_MB = 0.125  # per connection: a request, its copy and an answer
+CONTROL_CHARACTERS = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # in a header's value
+TARGET_PATTERN = re.compile(rb"/[\x21-\x7e]*")
+BUDGET_PATTERN = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
+REMOVED_HEADERS = HOP_BY_HOP | {b"x-budget", b"expect", b"x-load-report"}
+REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout", 409: b"Conflict",
     413: b"Content Too Large", 431: b"Request Header Fields Too Large", 500: b"Internal Server Error",
     502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
@@ -55,46 +64,58 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that has come whole and well formed."""
+    """A complete and valid request."""
 
     id: bytes
     cls: str
-    budget: float  # s, from when the client sent it
+    budget: float  # s, counted from when the client sent the request
     tenant: str
-    subject: str
-    work: float
-    resent: bool
-    head: bytes  # what goes on to a backend, but for the last headers
+    session_id: str  # the sid cookie; empty if there is none
+    work: float  # s of server time, the client's estimate; 0 if unknown
+    resent: bool  # the client marks it as a retry
+    head: bytes  # request line and headers for the backend, without x-budget and the final blank line
     body: bytes
-    came: float  # monotonic
+    received_at: float  # s, monotonic
 
 
 class Reply(Protocol):
-    """Where a call's answer goes."""
+    """Writes the answer to one request."""
 
-    def answer(self, code: int, headers: Any, body: bytes) -> None: ...
+    def answer(self, code: int, headers: Any, body: bytes) -> None:
+        """Sends the one answer. Raises RuntimeError if the request has been answered already."""
+        ...
 
-    def gone(self) -> bool: ...
+    def peer_closed(self) -> bool:
+        """Returns whether the caller has closed or reset its connection."""
+        ...
 
 
 class Handler(Protocol):
-    """What the callers' side asks of the driver."""
+    """Handles the requests that the server has read; implemented by the driver."""
 
-    def opened(self, request: Request, reply: Reply) -> object: ...
+    def on_request(self, request: Request, reply: Reply) -> object:
+        """Starts a call and returns its handle for on_disconnect; may answer it before it returns."""
+        ...
 
-    def left(self, call: Any) -> None: ...
+    def on_disconnect(self, call: Any) -> None:
+        """Ends an unanswered call whose caller has disconnected."""
+        ...
 
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Returns whether the proxy can serve requests; the answer to GET /healthz."""
+        ...
 
 
 class BadRequest(Exception):
+    """A request that is answered with an error status; the message is the body of the answer."""
+
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
         self.code = code
 
 
-def _one(found: list[tuple[bytes, bytes]], name: bytes) -> bytes:
-    values = [value for key, value in found if key == name]
+def _single_header(headers: list[tuple[bytes, bytes]], name: bytes) -> bytes:
+    values = [value for key, value in headers if key == name]
     if len(values) > 1:
         raise BadRequest(400, f"more than one {name.decode()}")
     return values[0] if values else b""
@@ -105,22 +126,25 @@
     target: bytes,
     headers: list[tuple[bytes, bytes]],
     body: bytes,
-    came: float,
+    received_at: float,
     effects: Mapping[str, Effect],
 ) -> Request:
-    """Raises BadRequest; the rules that need a second look stand here, not in the parser."""
-    if not TARGET.fullmatch(target):
+    """Validates a parsed request against its class; `received_at` is monotonic, in s.
+
+    Raises BadRequest if a header, the target, the method or the body is invalid.
+    """
+    if not TARGET_PATTERN.fullmatch(target):
         raise BadRequest(400, "the target is not a path")
-    if any(UNCLEAN.search(value) for _, value in headers):
+    if any(CONTROL_CHARACTERS.search(value) for _, value in headers):
         raise BadRequest(400, "a header holds what a backend might not read")
     cls = target[1:].split(b"?", 1)[0].split(b"/", 1)[0].decode("latin-1")
     effect = effects.get(cls)
     if effect is None:
         raise BadRequest(404, "no such class")
-    id, key = _one(headers, b"x-call-id"), _one(headers, b"idempotency-key")
+    id, key = _single_header(headers, b"x-call-id"), _single_header(headers, b"idempotency-key")
     if not id:
         raise BadRequest(400, "X-Call-Id is missing")
-    budget = BUDGET.fullmatch(_one(headers, b"x-budget"))
+    budget = BUDGET_PATTERN.fullmatch(_single_header(headers, b"x-budget"))
     if budget is None:
         raise BadRequest(400, "X-Budget is missing or malformed")
     if method != (b"GET" if effect is Effect.REPEATABLE else b"POST"):
@@ -130,39 +154,40 @@
     if body and method == b"GET":
         raise BadRequest(400, "a GET has no body")
     try:
-        work = max(0.0, float(_one(headers, b"x-call-cost") or 0)) / 1e6
+        work = max(0.0, float(_single_header(headers, b"x-call-cost") or 0)) / 1e6
     except ValueError:
         raise BadRequest(400, "X-Call-Cost is malformed") from None
     lines = [method + b" " + target + b" HTTP/1.1"]
-    lines += [name + b": " + value for name, value in headers if name not in REPLACED]
+    lines += [name + b": " + value for name, value in headers if name not in REMOVED_HEADERS]
     if method == b"POST":
         lines.append(b"content-length: %d" % len(body))
-    subject = ""
-    for part in _one(headers, b"cookie").split(b";"):
+    session_id = ""
+    for part in _single_header(headers, b"cookie").split(b";"):
         name, _, value = part.strip().partition(b"=")
         if name == b"sid":
-            subject = value.decode("latin-1")
+            session_id = value.decode("latin-1")
     return Request(
         id=id,
         cls=cls,
         budget=float(budget[1]) / (1e3 if budget[2] == b"m" else 1e6),
-        tenant=_one(headers, b"x-caller").decode("latin-1"),
-        subject=subject,
+        tenant=_single_header(headers, b"x-caller").decode("latin-1"),
+        session_id=session_id,
         work=work if work - work == 0.0 else 0.0,
-        resent=_one(headers, b"x-again") == b"1",
+        resent=_single_header(headers, b"x-again") == b"1",
         head=b"\r\n".join(lines) + b"\r\n",
         body=body,
-        came=came,
+        received_at=received_at,
     )
 
 
 class ClientConnection(asyncio.Protocol):
-    """One caller's connection: requests one after another, each with exactly one answer."""
+    """One connection of a caller. Pipelined requests are answered in order, each exactly once."""
 
     __slots__ = (
-        "ahead", "answering", "body", "body_size", "broken", "call", "extra", "full", "head_done",
-        "head_size", "headers", "inside", "keep_alive", "leaving", "parser", "paused", "raw", "server",
-        "since", "table", "target", "transport", "waiting",
+        "answering", "body", "body_size", "call", "closing", "discarding_input", "head_size", "headers",
+        "headers_complete", "in_message", "keep_alive", "over_limit", "parser", "pending_requests",
+        "raw_bytes", "read_ahead_bytes", "reading_paused", "server", "table", "table_since", "target",
+        "transport", "write_blocked",
     )  # fmt: skip
 
     def __init__(self, server: Server) -> None:
@@ -173,140 +198,143 @@
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
         self.head_size = self.body_size = 0
-        self.raw = 0  # bytes as they came, since the last whole request
-        self.ahead = 0  # bytes read since no request was waiting behind the open one
-        self.inside = False  # a request has begun to come
-        self.head_done = False
-        self.waiting: deque[tuple[Request | BadRequest | None, bool]] = deque()
+        self.raw_bytes = 0  # received since the last complete request
+        self.read_ahead_bytes = 0  # read since pending_requests was last empty
+        self.in_message = False  # the parser is within a request
+        self.headers_complete = False
+        # Complete requests (None: a readiness check), each with whether the connection stays open after it.
+        self.pending_requests: deque[tuple[Request | BadRequest | None, bool]] = deque()
         self.call: object | None = None
-        self.answering = False  # a request is open
+        self.answering = False  # a request waits for its answer
         self.keep_alive = True
-        self.broken = False  # what still comes is read, so that the answer arrives, and dropped
-        self.leaving = False  # has had its last answer
-        self.extra = False  # came when there was no room, or stays at the end: what it asks is refused
-        self.table: dict[ClientConnection, None] | None = None  # of the server's, by what it is waited for
-        self.since = 0.0
-        self.full = False  # the peer does not read
-        self.paused = False
-
-    # transport callbacks
+        # After invalid input the rest is read and dropped: a close on unread bytes could lose the answer.
+        self.discarding_input = False
+        self.closing = False  # the last answer has been written
+        self.over_limit = False  # over the connection limit or shutting down: requests are refused
+        self.table: dict[ClientConnection, None] | None = None  # one of the server's tables
+        self.table_since = 0.0  # s, monotonic, of the move to that table
+        self.write_blocked = False  # the write buffer is full because the peer does not read
+        self.reading_paused = False
+
+    # Transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
         self.parser = httptools.HttpRequestParser(self)
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None  # the parser holds this object: a cycle that would wait for gc
-        self.leaving = True
-        self.waiting.clear()
-        self.server.place(self, None)
+        self.transport = self.parser = None  # breaks a reference cycle; freed without gc
+        self.closing = True
+        self.pending_requests.clear()
+        self.server.set_table(self, None)
         self.server.connections.discard(self)
-        self.server.extras.discard(self)
-        self.server.unread.discard(self)
-        self.server.long.discard(self)
+        self.server.over_limit_connections.discard(self)
+        self.server.paused_connections.discard(self)
+        self.server.large_request_connections.discard(self)
         call, self.call = self.call, None
         if call is not None:
-            self.server.handler.left(call)
+            self.server.handler.on_disconnect(call)
 
     def pause_writing(self) -> None:
-        self.full = True
-        self._flow()
+        self.write_blocked = True
+        self._update_reading()
 
     def resume_writing(self) -> None:
-        self.full = False
-        self._flow()
-
-    def _flow(self) -> None:
-        """Nothing more is read from a peer that reads nothing or that is ahead of its answers."""
-        if self.transport is not None and not self.leaving:
-            if not self.waiting:
-                self.ahead = 0
-            # So it holds one read's worth of bodies at most, and what little came before.
-            pause = self.full or self.ahead > MOST_AHEAD
-            if pause and not self.paused:
+        self.write_blocked = False
+        self._update_reading()
+
+    def _update_reading(self) -> None:
+        """Pauses reading while the peer does not read its answers or has sent too much ahead of them."""
+        if self.transport is not None and not self.closing:
+            if not self.pending_requests:
+                self.read_ahead_bytes = 0
+            # This bounds the bodies held by one connection to MAX_READ_AHEAD_BYTES and a single read.
+            pause = self.write_blocked or self.read_ahead_bytes > MAX_READ_AHEAD_BYTES
+            if pause and not self.reading_paused:
                 self.transport.pause_reading()
-                self.server.unread.add(self)
-            elif self.paused and not pause:
+                self.server.paused_connections.add(self)
+            elif self.reading_paused and not pause:
                 self.transport.resume_reading()
-                self.server.unread.discard(self)
-            self.paused = pause
+                self.server.paused_connections.discard(self)
+            self.reading_paused = pause
 
     def data_received(self, data: bytes) -> None:
-        if self.leaving or self.broken:
+        if self.closing or self.discarding_input:
             return
-        self.raw += len(data)
-        self.ahead += len(data)
+        self.raw_bytes += len(data)
+        self.read_ahead_bytes += len(data)
         try:
             self.parser.feed_data(data)
-            # httptools gathers a header that does not end without a word, so what comes is counted as it is.
-            if self.raw > MOST_HEAD and not self.head_done:
+            # httptools buffers an unfinished header without a callback, so the raw bytes are counted as well.
+            if self.raw_bytes > MAX_HEAD_BYTES and not self.headers_complete:
                 raise BadRequest(431, "headers too large")
-            if self.raw > MOST_RAW:
+            if self.raw_bytes > MAX_RAW_REQUEST_BYTES:
                 raise BadRequest(413, "the request does not end")
-        except Exception as fault:  # from the parser, or from a callback through it
-            cause = fault if isinstance(fault, BadRequest) else fault.__context__
-            self._break(cause if isinstance(cause, BadRequest) else BadRequest(400, "malformed HTTP"))
-        if self.table is self.server.kept and not self.waiting:
-            self.server.place(self, self.server.fresh)  # a further request has begun
-        self._next()
-
-    def _break(self, bad: BadRequest) -> None:
-        self.waiting.append((bad, False))
+        except Exception as error:  # from the parser, or wrapped by it if a callback raised it
+            cause = error if isinstance(error, BadRequest) else error.__context__
+            self._reject_input(cause if isinstance(cause, BadRequest) else BadRequest(400, "malformed HTTP"))
+        if self.table is self.server.idle and not self.pending_requests:
+            self.server.set_table(self, self.server.awaiting_request)  # the next request has started
+        self._process_next()
+
+    def _reject_input(self, rejection: BadRequest) -> None:
+        self.pending_requests.append((rejection, False))
         self.body = []
-        self.broken = True
+        self.discarding_input = True
 
-    # parser callbacks
+    # Parser callbacks
     def on_message_begin(self) -> None:
-        self.inside = True
+        self.in_message = True
         self.target = b""
         self.headers, self.body = [], []
         self.head_size = self.body_size = 0
 
     def on_url(self, part: bytes) -> None:
         self.target += part
-        self._count_head(len(part))
+        self._add_head_size(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._count_head(len(name) + len(value))
-        if not self.head_done:  # a trailer is no header
+        self._add_head_size(len(name) + len(value))
+        if not self.headers_complete:  # a trailer is not a header
             self.headers.append(clean(name, value))
 
-    def _count_head(self, size: int) -> None:
+    def _add_head_size(self, size: int) -> None:
         self.head_size += size
-        if self.head_size > MOST_HEAD:
+        if self.head_size > MAX_HEAD_BYTES:
             raise BadRequest(431, "headers too large")
 
     def on_headers_complete(self) -> None:
-        self.head_done = True
+        self.headers_complete = True
         lengths = [value for name, value in self.headers if name == b"content-length"]
         codings = [value for name, value in self.headers if name == b"transfer-encoding"]
-        # Two readings of where a body ends would let a second request hide in the first.
+        # Prevents request smuggling: with an ambiguous length a backend could take a part of the body for a
+        # second request.
         if len(lengths) + len(codings) > 1 or (codings and codings[0].lower() != b"chunked"):
             raise BadRequest(400, "no one way to tell the length")
         if lengths:
             if not lengths[0].isdigit():
                 raise BadRequest(400, "Content-Length is malformed")
-            self._check_size(int(lengths[0]) if len(lengths[0]) <= 15 else MOST_BODY + 1)
+            self._check_body_size(int(lengths[0]) if len(lengths[0]) <= 15 else MAX_BODY_BYTES + 1)
         expects = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
-        if expects and self.transport is not None and not self.answering and not self.waiting:
+        if expects and self.transport is not None and not self.answering and not self.pending_requests:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, chunk: bytes) -> None:
         self.body_size += len(chunk)
-        self._check_size(self.body_size)
+        self._check_body_size(self.body_size)
         self.body.append(chunk)
 
-    def _check_size(self, size: int) -> None:
-        if size > MOST_BODY or (size > LONG_BODY and not self.server.room_for_long(self)):
+    def _check_body_size(self, size: int) -> None:
+        if size > MAX_BODY_BYTES or (size > LARGE_BODY_BYTES and not self.server.reserve_large_request(self)):
             raise BadRequest(413, "body too large")
 
     def on_message_complete(self) -> None:
-        self.inside = self.head_done = False
-        self.raw = 0
+        self.in_message = self.headers_complete = False
+        self.raw_bytes = 0
         parser = self.parser
         keep_alive = parser.should_keep_alive()
         method = parser.get_method()
-        request: Request | BadRequest | None = None  # None: asks whether the proxy is ready
+        request: Request | BadRequest | None = None  # None: a readiness check
         if parser.should_upgrade():
             request = BadRequest(400, "no upgrades")
             keep_alive = False
@@ -316,130 +344,150 @@
                 request = read_request(
                     method, self.target, self.headers, body, time.monotonic(), self.server.effects
                 )
-            except BadRequest as bad:
-                request = bad
+            except BadRequest as rejection:
+                request = rejection
         self.headers, self.body = [], []
-        self.waiting.append((request, keep_alive))
+        self.pending_requests.append((request, keep_alive))
 
-    # answers
-    def _next(self) -> None:
-        while self.waiting and not self.answering and not self.leaving:
-            request, self.keep_alive = self.waiting.popleft()
+    # Answers
+    def _process_next(self) -> None:
+        while self.pending_requests and not self.answering and not self.closing:
+            request, self.keep_alive = self.pending_requests.popleft()
             self.answering = True
-            self.server.place(self, None)
+            self.server.set_table(self, None)
             if request is None:
                 ready = self.server.handler.ready()
                 self.answer(200 if ready else 503, NO_HEADERS, b"ok\n" if ready else b"not ready\n")
             elif isinstance(request, BadRequest):
                 self.answer(request.code, NO_HEADERS, f"{request}\n".encode())
-            elif self.extra:
-                # Never sent, so a refusal is harmless; what has come behind it is owed one too.
-                self.keep_alive = self.keep_alive and bool(self.waiting)
-                self.answer(503, self.server.advice, b"no room for this connection\n")
+            elif self.over_limit:
+                # The request was never sent to a backend, so it can be refused. Requests behind it need their
+                # answers too, so the connection stays open until then.
+                self.keep_alive = self.keep_alive and bool(self.pending_requests)
+                self.answer(503, self.server.over_limit_headers, b"no room for this connection\n")
             else:
                 try:
-                    call = self.server.handler.opened(request, self)
+                    call = self.server.handler.on_request(request, self)
                 except Exception:
                     log.exception("request_not_taken", id=request.id)
                     self.answer(500, NO_HEADERS, b"internal error\n")
                     continue
                 if self.answering:
                     self.call = call
-        self._flow()
+        self._update_reading()
 
     def answer(self, code: int, headers: Any, body: bytes) -> None:
-        """The one answer to the open request; whoever asks for a second one gets an exception, not a byte."""
+        """Writes the answer to the open request.
+
+        Raises RuntimeError if it has been answered already; nothing is written then.
+        """
         if not self.answering:
-            raise RuntimeError("a request has one answer")
+            raise RuntimeError("the request has already been answered")
         self.answering = False
         self.call = None
-        if not self.waiting and (self.broken or not self.inside):
-            self.server.long.discard(self)
+        if not self.pending_requests and (self.discarding_input or not self.in_message):
+            self.server.large_request_connections.discard(self)
         transport = self.transport
         if transport is None:
             return
-        # What has come behind it is owed an answer too.
-        wound_up = self.server.draining and not (self.waiting or self.begun or self.has_unread())
-        last = not self.keep_alive or wound_up
-        parts = [b"HTTP/1.1 %d %s\r\n" % (code, REASONS.get(code, b"Status"))]
+        # Requests that have arrived behind this one must be answered before the connection closes.
+        drained = self.server.draining and not (
+            self.pending_requests or self.has_partial_request or self.has_unread_data()
+        )
+        is_last = not self.keep_alive or drained
+        parts = [b"HTTP/1.1 %d %s\r\n" % (code, REASON_PHRASES.get(code, b"Status"))]
         parts += [name + b": " + value + b"\r\n" for name, value in headers]
         parts.append(b"content-length: %d\r\n" % len(body))
-        parts.append(b"connection: close\r\n\r\n" if last else b"\r\n")
+        parts.append(b"connection: close\r\n\r\n" if is_last else b"\r\n")
         parts.append(body)
         transport.write(b"".join(parts))
-        if last:
+        if is_last:
             self.close()
-        elif self.waiting:
-            self.server.loop.call_soon(self._next)
+        elif self.pending_requests:
+            self.server.loop.call_soon(self._process_next)
         else:
-            self.server.place(self, self.server.fresh if self.begun else self.server.kept)
+            self.server.set_table(
+                self, self.server.awaiting_request if self.has_partial_request else self.server.idle
+            )
 
     def close(self) -> None:
-        """After what has been written. Where the peer may still be sending only this side ends at first:
-        closing on unread bytes resets the connection, which can take the answer with it."""
+        """Closes once everything written has been sent.
+
+        If the peer may still be sending, only the write side is closed at first: closing a socket with unread
+        bytes resets the connection, and the reset can destroy an answer that is still in transit.
+        """
         transport = self.transport
-        if transport is None or self.leaving:
+        if transport is None or self.closing:
             return
-        self.leaving = True
-        self.waiting.clear()
-        self.server.place(self, self.server.leaving)
-        if not (self.broken or self.paused or self.begun or self.has_unread()):
+        self.closing = True
+        self.pending_requests.clear()
+        self.server.set_table(self, self.server.closing)
+        if not (
+            self.discarding_input or self.reading_paused or self.has_partial_request or self.has_unread_data()
+        ):
             transport.close()
             return
-        if self.paused:
-            self.paused = False
-            self.server.unread.discard(self)
+        if self.reading_paused:
+            self.reading_paused = False
+            self.server.paused_connections.discard(self)
             transport.resume_reading()
         transport.write_eof()
 
-    def too_late(self) -> None:
-        """No whole request has come in time. Half of one gets an answer that says so."""
-        self.turn_away(BadRequest(408, "the request did not end"))
+    def on_read_timeout(self) -> None:
+        """Closes the connection after REQUEST_READ_TIMEOUT_S; a partial request is answered with 408."""
+        self.reject_partial_request(BadRequest(408, "the request did not end"))
 
-    def turn_away(self, told: BadRequest) -> None:
-        if self.begun:
-            self._break(told)
-            self._next()
+    def reject_partial_request(self, rejection: BadRequest) -> None:
+        """Answers a partial request with this error; closes the connection if there is none."""
+        if self.has_partial_request:
+            self._reject_input(rejection)
+            self._process_next()
         else:
             self.close()
 
     @property
-    def begun(self) -> bool:
-        """Whether a request has begun to come of which the rest is missing. Where its first bytes came with
-        the end of the one before, none have been counted for it."""
-        return self.inside or self.raw > 0
+    def has_partial_request(self) -> bool:
+        """Whether a request has been received in part.
+
+        in_message covers a request whose first bytes arrived together with the end of the previous one:
+        raw_bytes counts none of these.
+        """
+        return self.in_message or self.raw_bytes > 0
 
     @property
     def fileno(self) -> int:
+        """The file descriptor of the socket; only valid while the transport is open."""
         assert self.transport is not None
         return int(self.transport.get_extra_info("socket").fileno())
 
-    def has_unread(self) -> bool:
-        """Whether something lies in its socket that the loop has yet to read: by now it may be a request."""
+    def has_unread_data(self) -> bool:
+        """Returns whether the socket holds bytes, maybe a request, that the event loop has not read yet."""
         if self.transport is None or self.transport.is_closing():
             return False
         poll = select.poll()
         poll.register(self.fileno, select.POLLIN)
         return bool(poll.poll(0))
 
-    def gone(self) -> bool:
-        """Whether the peer has closed or reset, though the loop may not have heard of it from the socket."""
+    def peer_closed(self) -> bool:
+        """Returns whether the peer has closed or reset, even if the event loop has not read that yet."""
         if self.transport is None or self.transport.is_closing():
             return True
         poll = select.poll()
-        poll.register(self.fileno, GONE)
+        poll.register(self.fileno, PEER_CLOSED_EVENTS)
         return bool(poll.poll(0))
 
     def abort(self) -> None:
-        self.leaving = True
+        """Closes the connection at once; unsent output is lost."""
+        self.closing = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class Server:
-    """The listener and the callers' connections.
+    """The listener and the connections of the callers.
 
-    A connection without an open request stands in one table, by what it is waited for, the longest first.
+    A connection without an open request is in exactly one of three tables, by what it waits for:
+    awaiting_request, idle or closing. Each table is ordered by the time of entry, the oldest first.
     """
 
     def __init__(
@@ -448,142 +496,174 @@
         handler: Handler,
         sockets: int,
         memory_mb: float,
-        advice: Headers = NO_HEADERS,
+        over_limit_headers: Headers = NO_HEADERS,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.advice = advice  # for a caller that finds no room
+        self.over_limit_headers = over_limit_headers  # of a refusal over the connection limit
         self.effects, self.handler = effects, handler
-        others = int(sockets * UPSTREAM_SHARE) + min(RESERVE, sockets // 10)
-        by_memory = int(max(1.0, memory_mb - BASE_MEMORY) / CALLER_MEMORY)
-        # Each with its copy.
-        self.most_long = max(1, int(LONG_SHARE * (memory_mb - BASE_MEMORY) * 2**20 / (2 * MOST_BODY)))
-        self.most_ever = max(8, min(sockets - others, by_memory))
-        self.most_open = self.most_ever - int(self.most_ever * EXTRA_SHARE)
+        reserved = int(sockets * UPSTREAM_SHARE) + min(RESERVED_DESCRIPTORS, sockets // 10)
+        memory_limit = int(max(1.0, memory_mb - BASE_MEMORY_MB) / CONNECTION_MEMORY_MB)
+        # A large request is held together with its copy.
+        self.max_large_requests = max(
+            1, int(LARGE_BODY_MEMORY_SHARE * (memory_mb - BASE_MEMORY_MB) * 2**20 / (2 * MAX_BODY_BYTES))
+        )
+        self.max_connections = max(8, min(sockets - reserved, memory_limit))
+        self.max_served_connections = self.max_connections - int(self.max_connections * OVER_LIMIT_SHARE)
         self.connections: set[ClientConnection] = set()
-        self.extras: set[ClientConnection] = set()  # of these, those that came when there was no room
-        self.unread: set[ClientConnection] = set()  # not read from for now
-        self.long: set[ClientConnection] = set()  # hold a long request
-        self.fresh: dict[ClientConnection, None] = {}  # owe a whole request
-        self.kept: dict[ClientConnection, None] = {}  # answered, and asking nothing
-        self.leaving: dict[ClientConnection, None] = {}  # have had their last answer
-        self.draining = False  # each answer is the last on its connection
+        self.over_limit_connections: set[ClientConnection] = set()  # opened over the connection limit
+        self.paused_connections: set[ClientConnection] = set()  # reading is paused
+        self.large_request_connections: set[ClientConnection] = set()  # hold a large request
+        self.awaiting_request: dict[ClientConnection, None] = {}  # no complete request yet
+        self.idle: dict[ClientConnection, None] = {}  # answered, keep-alive
+        self.closing: dict[ClientConnection, None] = {}  # the last answer has been written
+        self.draining = False  # graceful shutdown: each answer closes its connection
         self.listener: Listener | None = None
         self.sweep_due = 0.0
 
-    def place(self, connection: ClientConnection, table: dict[ClientConnection, None] | None) -> None:
+    def set_table(self, connection: ClientConnection, table: dict[ClientConnection, None] | None) -> None:
+        """Moves a connection to the end of a table, or out of all tables (None)."""
         if connection.table is not None:
             del connection.table[connection]
         connection.table = table
         if table is not None:
-            connection.since = time.monotonic()
+            connection.table_since = time.monotonic()
             table[connection] = None
 
-    def room_for_long(self, connection: ClientConnection) -> bool:
-        if len(self.long) < self.most_long:
-            self.long.add(connection)
-        return connection in self.long
+    def reserve_large_request(self, connection: ClientConnection) -> bool:
+        """Returns whether this connection may hold a large request, within the memory limit for these."""
+        if len(self.large_request_connections) < self.max_large_requests:
+            self.large_request_connections.add(connection)
+        return connection in self.large_request_connections
 
     def add(self, connection: ClientConnection) -> None:
-        """Descriptors are bounded: beyond the bound, a connection that is of no use makes room. Where all
-        are, the newcomer's request is refused, and in the end the newcomer itself."""
+        """Registers a new connection and enforces the connection limits.
+
+        Over the limit an unused connection is evicted. If there is none, the requests of the new connection
+        are refused. Once the capacity for such connections is used up too, the new connection is aborted.
+        """
         self.connections.add(connection)
-        if len(self.connections) - len(self.extras) > self.most_open and not self._make_room():
-            connection.extra = True
-            self.extras.add(connection)
-        if len(self.connections) > self.most_ever and not self._make_room(among_extras=True):
+        if (
+            len(self.connections) - len(self.over_limit_connections) > self.max_served_connections
+            and not self._evict_connection()
+        ):
+            connection.over_limit = True
+            self.over_limit_connections.add(connection)
+        if len(self.connections) > self.max_connections and not self._evict_connection(among_over_limit=True):
             connection.abort()
             return
-        self.place(connection, self.fresh)
+        self.set_table(connection, self.awaiting_request)
 
-    def _make_room(self, among_extras: bool = False) -> bool:
-        """One that was told that there is no room leaves a descriptor, but no place among those served."""
+    def _evict_connection(self, among_over_limit: bool = False) -> bool:
+        """Aborts one unused connection; returns whether one was found.
+
+        Evicting an over-limit connection frees a descriptor but no capacity for served connections, so
+        `among_over_limit` says which of the two kinds is evicted.
+        """
         now = time.monotonic()
-        tables = {"fresh": self.fresh, "kept": self.kept, "leaving": self.leaving}
-        for which, age in YIELDS:
-            old = self._older(tables[which], now - age)
-            for oldest in islice((held for held in old if (held in self.extras) == among_extras), LOOKED_AT):
-                if oldest.leaving or not oldest.has_unread():
-                    self.place(oldest, None)
+        tables = {"awaiting_request": self.awaiting_request, "idle": self.idle, "closing": self.closing}
+        for table_name, age in EVICTION_ORDER:
+            old = self._entered_before(tables[table_name], now - age)
+            for oldest in islice(
+                (held for held in old if (held in self.over_limit_connections) == among_over_limit),
+                MAX_EVICTION_CHECKS,
+            ):
+                if oldest.closing or not oldest.has_unread_data():
+                    self.set_table(oldest, None)
                     oldest.abort()
                     return True
         return False
 
     async def listen(self, host: str, port: int) -> int:
-        self.listener = Listener(host, port, lambda: ClientConnection(self), self._make_room)
+        """Starts to accept connections and returns the port. Raises OSError if the address is unavailable."""
+        self.listener = Listener(host, port, lambda: ClientConnection(self), self._evict_connection)
         self._sweep_later()
         return self.listener.port
 
-    async def take_last(self, by: float) -> None:
-        """Stops listening once all that has connected is accepted, or at that time: what the kernel holds for
-        a listener when it closes is reset, with the requests that have come on it."""
-        while self.listener is not None and self.listener.pending and time.monotonic() < by:
+    async def accept_pending(self, until: float) -> None:
+        """Closes the listener once its backlog is accepted, at the monotonic time `until` at the latest.
+
+        Closing a listener resets the connections in its backlog, and the requests sent on them are lost.
+        """
+        while self.listener is not None and self.listener.has_pending and time.monotonic() < until:
             await asyncio.sleep(ONE_TURN)
         self.stop_listening()
 
     def stop_listening(self) -> None:
+        """Closes the listener; connections that are still in its backlog are reset."""
         if self.listener is not None:
             self.listener.close()
 
     def close_idle(self) -> None:
-        """All that ask nothing."""
-        for connection in [*self.kept, *self.fresh]:
-            if not connection.begun and not connection.has_unread():
+        """Closes every connection without a request, not even a partial or unread one."""
+        for connection in [*self.idle, *self.awaiting_request]:
+            if not connection.has_partial_request and not connection.has_unread_data():
                 connection.close()
 
     @property
-    def begun(self) -> bool:
-        """Whether a request has begun to come of which the rest is missing."""
-        return any(connection.begun or connection.has_unread() for connection in (*self.kept, *self.fresh))
-
-    def turn_away_begun(self) -> None:
-        """Those whose request does not come whole before the end. It never went on: a refusal is harmless.
-        What lies unread is read first, and refused where that makes it whole."""
-        for connection in [*self.kept, *self.fresh]:
-            connection.extra = True
-            if not connection.has_unread():
-                connection.turn_away(BadRequest(503, "this proxy is ending"))
-
-    def abort_leaving(self) -> None:
-        """Ends what a close does not: peers that never take their last answer."""
-        for connection in list(self.leaving):
+    def has_partial_request(self) -> bool:
+        """Whether any connection has a partial request, or unread bytes that may be one."""
+        return any(
+            connection.has_partial_request or connection.has_unread_data()
+            for connection in (*self.idle, *self.awaiting_request)
+        )
+
+    def reject_partial_requests(self) -> None:
+        """Refuses the requests that are still incomplete at the end of the graceful shutdown.
+
+        None of them was sent to a backend, so the refusal is harmless. Unread bytes are read first, and a
+        request that they complete is refused as well.
+        """
+        for connection in [*self.idle, *self.awaiting_request]:
+            connection.over_limit = True
+            if not connection.has_unread_data():
+                connection.reject_partial_request(BadRequest(503, "this proxy is ending"))
+
+    def abort_closing(self) -> None:
+        """Aborts the connections that a close does not end: their peers never read the last answer."""
+        for connection in list(self.closing):
             connection.abort()
 
     def _sweep_later(self) -> None:
-        self.sweep_due = time.monotonic() + SWEEP
-        self.loop.call_later(SWEEP, self._sweep)
+        self.sweep_due = time.monotonic() + SWEEP_INTERVAL_S
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
         now = time.monotonic()
-        if now > self.sweep_due + SWEEP + LATE:
-            # This process stood still, and timers come before sockets: what is missing may have come.
+        if now > self.sweep_due + SWEEP_INTERVAL_S + LATE:
+            # The process was stalled, and timers run before sockets are read: missing bytes may have arrived.
             self.sweep_due = now
             self.loop.call_later(ONE_TURN, self._sweep)
             return
-        self._end_those_that_left()
-        for table, bound, end in (
-            (self.fresh, WHOLE, ClientConnection.too_late),
-            (self.kept, KEPT, ClientConnection.close),
-            (self.leaving, LINGER, ClientConnection.abort),
+        self._abort_disconnected()
+        for table, timeout, end in (
+            (self.awaiting_request, REQUEST_READ_TIMEOUT_S, ClientConnection.on_read_timeout),
+            (self.idle, KEEP_ALIVE_TIMEOUT_S, ClientConnection.close),
+            (self.closing, LINGER_TIMEOUT_S, ClientConnection.abort),
         ):
-            for connection in list(self._older(table, now - bound)):
-                # What has just come is read first; what then is still not whole is overdue.
-                first_look = table is not self.leaving and connection.since > now - bound - SWEEP
-                if not (first_look and connection.has_unread()):
+            for connection in list(self._entered_before(table, now - timeout)):
+                # Unread bytes are read before a connection times out; at the next sweep it times out anyway.
+                first_look = (
+                    table is not self.closing and connection.table_since > now - timeout - SWEEP_INTERVAL_S
+                )
+                if not (first_look and connection.has_unread_data()):
                     end(connection)
         self._sweep_later()
 
     @staticmethod
-    def _older(table: dict[ClientConnection, None], than: float) -> Iterator[ClientConnection]:
-        return takewhile(lambda connection: connection.since <= than, table)
-
-    def _end_those_that_left(self) -> None:
-        """The end of a connection that is not read from lies behind what is unread, so the loop does not hear
-        of it: a request of a client that has gone would still be sent on."""
-        poll, watched = select.poll(), {}
-        for connection in self.unread:
+    def _entered_before(table: dict[ClientConnection, None], moment: float) -> Iterator[ClientConnection]:
+        return takewhile(lambda connection: connection.table_since <= moment, table)
+
+    def _abort_disconnected(self) -> None:
+        """Aborts paused connections whose peer has closed or reset.
+
+        While reading is paused, the event loop doesn't see the end of the connection behind the unread bytes,
+        and a request whose caller has disconnected would still be sent to a backend.
+        """
+        poll, connections_by_fd = select.poll(), {}
+        for connection in self.paused_connections:
             if connection.transport is not None:
-                watched[connection.fileno] = connection
-                poll.register(connection.fileno, GONE)
-        for number, _ in poll.poll(0) if watched else ():
+                connections_by_fd[connection.fileno] = connection
+                poll.register(connection.fileno, PEER_CLOSED_EVENTS)
+        for file_number, _ in poll.poll(0) if connections_by_fd else ():
             log.info("caller_left_unread")
-            watched[number].abort()
+            connections_by_fd[file_number].abort()
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -16,9 +16,9 @@
 from granitepoint.interface import ServerState, Status
 from granitepoint.net.config import Address
 from granitepoint.net.listing import Listing
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 
-log = Events(__name__)
+log = EventLogger(__name__)
 
 MOST_BODY = 256 * 1024  # bytes of an answer
 MOST_HEAD = 32 * 1024  # bytes of an answer's headers, with all 1xx answers ahead of it
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -13,7 +13,7 @@
 from netkit import GRADES, PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
 
 from granitepoint.interface import Effect
-from granitepoint.net.logs import LINES, Sparse
+from granitepoint.net.logs import MAX_LINES_PER_EVENT, RateLimitFilter
 from granitepoint.net.server import ClientConnection, Server
 
 HEAD = b" HTTP/1.1\r\nHost: x\r\nX-Call-Id: 0011223344556677\r\nX-Budget: 500m\r\n"
@@ -278,11 +278,11 @@
 def test_a_closed_connection_leaves_no_cycle_and_no_entry_behind() -> None:
     async def test() -> None:
         class Handler:
-            def opened(self, request: Any, reply: Any) -> object:
+            def on_request(self, request: Any, reply: Any) -> object:
                 reply.answer(200, (), b"")
                 return None
 
-            def left(self, call: Any) -> None: ...
+            def on_disconnect(self, call: Any) -> None: ...
 
             def ready(self) -> bool:
                 return True
@@ -292,21 +292,21 @@
         caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
         assert (await caller.call("stock", "a" * 16)).code == 200
         connection: ClientConnection = next(iter(server.connections))
-        assert connection.parser is not None and connection in server.kept
+        assert connection.parser is not None and connection in server.idle
         caller.writer.close()
         async with asyncio.timeout(PATIENCE):
             while server.connections:
                 await asyncio.sleep(0)
         assert connection.parser is None
-        assert not (server.fresh or server.kept or server.leaving)
+        assert not (server.awaiting_request or server.idle or server.closing)
         server.stop_listening()
 
     run(test())
 
 
 def test_a_flood_of_faults_is_no_flood_of_lines() -> None:
-    sparse = Sparse()
+    sparse = RateLimitFilter()
     record = logging.LogRecord("x", logging.WARNING, "", 0, "fault %d", (1,), None)
     other = logging.LogRecord("x", logging.WARNING, "", 0, "other", (), None)
-    assert sum(bool(sparse.filter(record)) for _ in range(10 * LINES)) == LINES
+    assert sum(bool(sparse.filter(record)) for _ in range(10 * MAX_LINES_PER_EVENT)) == MAX_LINES_PER_EVENT
     assert sparse.filter(other)
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 from netkit import ROOT, config, endpoint, listing
 
-from granitepoint.benchlink import REPORT_VIA, WEIGHTS
+from granitepoint.benchlink import REPORT_CHANNELS, WEIGHT_SOURCES
 from granitepoint.cli import schema
 from granitepoint.cli.check import DOUBTFUL, NO_EFFECT, OUT_OF_RANGE, UNKNOWN, read
 from granitepoint.interface import Effect, Settings
@@ -114,9 +114,9 @@
 AS_HELD: dict[str, Callable[[Any, Any], Any]] = {  # a value in the form of the interface's types
     "effect": lambda value, settings: Effect(value),
     "ask_for_list": lambda value, settings: value == "ask",
-    "weights": lambda value, settings: WEIGHTS[value],
+    "weights": lambda value, settings: WEIGHT_SOURCES[value],
     "worth_by_work": lambda value, settings: value == "work",
-    "reports": lambda value, settings: REPORT_VIA[value],
+    "reports": lambda value, settings: REPORT_CHANNELS[value],
     "stages": lambda value, settings: len(value) or settings.stage + 1,
 }
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -21,22 +21,22 @@
     def answer(self, code: int, headers: Any, body: bytes) -> None:
         raise AssertionError("nothing is answered here")
 
-    def gone(self) -> bool:
+    def peer_closed(self) -> bool:
         return False
 
 
-def request(came: float) -> Request:
+def request(received_at: float) -> Request:
     return Request(
         id=b"1",
         cls="safe",
         budget=1.9,
         tenant="",
-        subject="",
+        session_id="",
         work=0.0,
         resent=False,
         head=b"",
         body=b"",
-        came=came,
+        received_at=received_at,
     )
 
 
@@ -52,7 +52,7 @@
         for number, (budget, told) in enumerate(left.items()):
             asked = request(100.0)
             asked.id, asked.budget = b"%d" % number, budget
-            driver.opened(asked, NoReply())
+            driver.on_request(asked, NoReply())
             arrival = driver.events[-1]
             assert isinstance(arrival, Arrival) and arrival.budget == pytest.approx(told)
         for call in driver.calls.values():
@@ -71,19 +71,19 @@
         nowhere = ("127.0.0.1", 9)
         config = Config("n0", nowhere, nowhere, 1, sockets=256, memory_mb=64.0, known={}, settings=settings())
         driver = Driver(config)
-        driver.opened(request(time.monotonic()), NoReply())
+        driver.on_request(request(time.monotonic()), NoReply())
         usual = driver.events[-1]
         assert isinstance(usual, Arrival) and usual.budget > 1.5
         assert usual.stated == 1.9
         held = request(time.monotonic() - 0.4)  # it lay unread while this process stood still
         held.id = b"3"
-        driver.opened(held, NoReply())
+        driver.on_request(held, NoReply())
         late = driver.events[-1]
         assert isinstance(late, Arrival) and late.budget < 1.5 and late.stated == 1.9
         driver.end_by = time.monotonic() + 0.5
         second = request(time.monotonic())
         second.id = b"2"
-        driver.opened(second, NoReply())
+        driver.on_request(second, NoReply())
         last = driver.events[-1]
         assert isinstance(last, Arrival) and last.budget <= 0.5
         for call in driver.calls.values():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -31,10 +31,10 @@
 from granitepoint.benchlink import read_settings
 from granitepoint.interface import Effect, Status
 from granitepoint.net import upstream as up
-from granitepoint.net.config import Config, flatten
+from granitepoint.net.config import Config, flatten_settings
 from granitepoint.net.driver import Driver
 from granitepoint.net.listing import read_listing
-from granitepoint.net.server import KEPT, WHOLE, Request, Server
+from granitepoint.net.server import KEEP_ALIVE_TIMEOUT_S, REQUEST_READ_TIMEOUT_S, Request, Server
 
 STOCK = b"GET /stock HTTP/1.1\r\nX-Call-Id: %016d\r\nX-Budget: 9000m\r\n\r\n"
 
@@ -46,11 +46,11 @@
         self.taken: asyncio.Queue[tuple[Request, Any]] = asyncio.Queue()
         self.gone: asyncio.Queue[Request] = asyncio.Queue()
 
-    def opened(self, request: Request, reply: Any) -> Request:
+    def on_request(self, request: Request, reply: Any) -> Request:
         self.taken.put_nowait((request, reply))
         return request
 
-    def left(self, call: Request) -> None:
+    def on_disconnect(self, call: Request) -> None:
         self.gone.put_nowait(call)
 
     def ready(self) -> bool:
@@ -105,7 +105,7 @@
             assert await handler.gone.get() is request
             while server.connections:
                 await asyncio.sleep(0)
-            assert handler.taken.empty() and not server.unread
+            assert handler.taken.empty() and not server.paused_connections
 
     run(test())
 
@@ -144,7 +144,7 @@
 async def node(behave: Behaviour = serve_ok, status: str = "Ready", **changes: Any) -> AsyncIterator[Node]:
     backend = await Backend(behave).start()
     known = listing(1, endpoint("s-1", backend.address, status))
-    settings = read_settings(flatten({**SETTINGS, **changes}))
+    settings = read_settings(flatten_settings({**SETTINGS, **changes}))
     nowhere = ("127.0.0.1", 9)
     driver = Driver(Config("n0", nowhere, nowhere, 1, 256, 64.0, known, settings))
     driver.balancer.list_lease.confirmed = True  # there is no discovery here; lists come from the test
@@ -400,13 +400,13 @@
                 (connection,) = server.connections
                 for behind in (2, 3):
                     caller.sendall(STOCK % behind)
-                    while len(connection.waiting) < behind - 1:
+                    while len(connection.pending_requests) < behind - 1:
                         await asyncio.sleep(0)
                 answered = time.monotonic()
                 for _ in range(2):
                     reply.answer(200, (), b"")
                     request, reply = await handler.taken.get()
-                    assert request.came < answered
+                    assert request.received_at < answered
 
     run(test())
 
@@ -417,7 +417,7 @@
     caller.sendall(STOCK % 1)
     _, reply = await handler.taken.get()
     reply.answer(200, (), b"")
-    assert server.kept
+    assert server.idle
     caller.sendall(STOCK % 2)
     return caller
 
@@ -427,15 +427,15 @@
 
 
 def end_kept_for_long(server: Server) -> None:
-    for connection in server.kept:
-        connection.since -= KEPT
+    for connection in server.idle:
+        connection.table_since -= KEEP_ALIVE_TIMEOUT_S
     server._sweep()
 
 
 def make_room(server: Server) -> None:
-    for connection in server.kept:
-        connection.since -= KEPT
-    assert not server._make_room()
+    for connection in server.idle:
+        connection.table_since -= KEEP_ALIVE_TIMEOUT_S
+    assert not server._evict_connection()
 
 
 @pytest.mark.parametrize("end", [end_idle, end_kept_for_long, make_room])
@@ -461,7 +461,7 @@
         async with callers_side(handler) as (server, port):
             with await asked_while_the_loop_looks_away(server, port, handler) as caller:
                 server.draining = True
-                server.turn_away_begun()
+                server.reject_partial_requests()
                 other = Caller(*await asyncio.open_connection(sock=caller.dup()))
                 assert (await other.answer()).code == 200  # the one before
                 answer = await other.answer()
@@ -476,10 +476,10 @@
         handler = Held()
         async with callers_side(handler) as (server, port):
             with socket.create_connection(("127.0.0.1", port)) as caller:
-                while not server.fresh:
+                while not server.awaiting_request:
                     await asyncio.sleep(0)
-                for connection in server.fresh:
-                    connection.since -= WHOLE
+                for connection in server.awaiting_request:
+                    connection.table_since -= REQUEST_READ_TIMEOUT_S
                 caller.sendall(STOCK % 1)
                 server._sweep()
                 assert (await handler.taken.get())[0].id == b"%016d" % 1
@@ -525,13 +525,13 @@
                 caller.send((STOCK % 1).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
                 _, reply = await handler.taken.get()
                 silent = Caller(*await asyncio.open_connection("127.0.0.1", port))
-                while not server.fresh:
+                while not server.awaiting_request:
                     await asyncio.sleep(0)
-                for connection in server.fresh:
-                    connection.since -= WHOLE
+                for connection in server.awaiting_request:
+                    connection.table_since -= REQUEST_READ_TIMEOUT_S
                 body = bytes(8 << 20)  # more than the system holds for a connection
                 reply.answer(200, (), body)
-                assert server.leaving and server._make_room() and not server.fresh
+                assert server.closing and server._evict_connection() and not server.awaiting_request
                 assert await silent.ended()
                 come = 0
                 while part := await loop.sock_recv(caller, 1 << 20):
@@ -553,7 +553,7 @@
             _, reply = await handler.taken.get()
             server.draining = True
             caller.writer.write(STOCK % 2)
-            while looked and not any(connection.waiting for connection in server.connections):
+            while looked and not any(connection.pending_requests for connection in server.connections):
                 await asyncio.sleep(0)
             reply.answer(200, (), b"first")
             assert (await caller.answer()).body == b"first"
@@ -580,14 +580,14 @@
             reply.answer(200, (), b"first")
             assert (await caller.answer()).body == b"first"
             server.close_idle()
-            assert server.begun
+            assert server.has_partial_request
             if whole:
                 caller.writer.write((STOCK % 1 + STOCK % 2)[cut:])
                 request, reply = await handler.taken.get()
                 assert request.id == b"%016d" % 2
                 reply.answer(200, (), b"second")
             else:
-                server.turn_away_begun()
+                server.reject_partial_requests()
             answer = await caller.answer()
             assert (answer.code, answer.headers["connection"]) == (200 if whole else 503, "close")
             assert await caller.ended()
@@ -603,7 +603,7 @@
         async with callers_side(handler) as (server, port):
             with socket.create_connection(("127.0.0.1", port)) as caller:
                 caller.sendall(STOCK % 1)
-                await server.take_last(time.monotonic() + PATIENCE)
+                await server.accept_pending(time.monotonic() + PATIENCE)
                 _, reply = await handler.taken.get()
                 reply.answer(200, (), b"served")
                 reader, writer = await asyncio.open_connection(sock=caller.dup())
@@ -625,21 +625,21 @@
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """SIGTERM is followed by the wind-down at once."""
-    monkeypatch.setattr(program, "LAST_ACCEPT", 0.0)
-    monkeypatch.setattr(program, "WIND_DOWN", PATIENCE)
+    monkeypatch.setattr(program, "SHUTDOWN_ACCEPT_S", 0.0)
+    monkeypatch.setattr(program, "SHUTDOWN_CLOSING_S", PATIENCE)
 
 
 @pytest.mark.usefixtures("soon")
 def test_a_request_of_which_the_rest_comes_in_the_wind_down_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(program, "REST", PATIENCE)
+    monkeypatch.setattr(program, "SHUTDOWN_PARTIAL_REQUEST_S", PATIENCE)
 
     async def test() -> None:
         async with node() as here:
             caller = await here.caller()
             caller.writer.write((STOCK % 1)[:40])
-            await here.until(lambda: here.server.begun)
+            await here.until(lambda: here.server.has_partial_request)
             ending = await wind_down(here)
             caller.writer.write((STOCK % 1)[40:])
             answer = await caller.answer()
@@ -653,13 +653,13 @@
 def test_a_request_that_does_not_come_whole_before_the_end_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(program, "REST", 0.0)
+    monkeypatch.setattr(program, "SHUTDOWN_PARTIAL_REQUEST_S", 0.0)
 
     async def test() -> None:
         async with node() as here:
             caller = await here.caller()
             caller.writer.write((STOCK % 1)[:40])
-            await here.until(lambda: here.server.begun)
+            await here.until(lambda: here.server.has_partial_request)
             ending = await wind_down(here)
             answer = await caller.answer()
             assert (answer.code, answer.headers["connection"]) == (503, "close")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -35,7 +35,7 @@
         stream.seek(0)
         stream.truncate()
         root.handlers = []
-        logs.start(stream, form, level)
+        logs.configure(stream, form, level)
         return stream
 
     yield begin
@@ -52,7 +52,7 @@
 def test_a_line_holds_the_event_and_its_values(lines: Any) -> None:
     for form in logs.Format:
         stream = lines(form)
-        events = logs.Events("granitepoint.net.part")
+        events = logs.EventLogger("granitepoint.net.part")
         odd = {"empty": "", "fault": 'a "b" = c', "no": None}
         events.info("thing_done", id=b"0123", after_s=0.12345678, count=3, **odd)
         line = stream.getvalue().rstrip("\n")
@@ -70,18 +70,18 @@
     record = logging.LogRecord("a.part", logging.INFO, "", 0, "thing_done", (), None)
     given = {f"x{key}": value for key, value in values.items()}
     record.__dict__["values"] = given
-    line = logs.Line(logs.Format.TEXT).format(record)
+    line = logs.LineFormatter(logs.Format.TEXT).format(record)
     assert line.isascii() and line.isprintable()
     present = {key for key, value in given.items() if value is not None}
     assert set(words(line)) - {"time", "level", "event", "part"} == present
-    line = logs.Line(logs.Format.JSON).format(record)
+    line = logs.LineFormatter(logs.Format.JSON).format(record)
     assert "\n" not in line and "Infinity" not in line and "NaN" not in line
     assert set(json.loads(line)) - {"time", "level", "event", "part"} == present
 
 
 def test_a_class_of_any_name_makes_a_key(lines: Any) -> None:
     stream = lines(logs.Format.TEXT)
-    logs.Events("x").info("figures", **{'target.a b="c\n_s': 0.5})
+    logs.EventLogger("x").info("figures", **{'target.a b="c\n_s': 0.5})
     assert words(stream.getvalue().rstrip("\n"))["target.a_b_c__s"] == "0.5"
 
 
@@ -90,21 +90,24 @@
     try:
         raise ValueError("two\nlines")
     except ValueError:
-        logs.Events("x").exception("thing_failed")
+        logs.EventLogger("x").exception("thing_failed")
     (line,) = stream.getvalue().splitlines()
     assert words(line)["traceback"].endswith("ValueError: two\nlines")
 
 
 def test_lines_for_debugging_are_not_thinned_out(lines: Any) -> None:
     stream = lines(logs.Format.TEXT, logging.DEBUG)
-    events = logs.Events("x")
-    for _ in range(3 * logs.LINES):
+    events = logs.EventLogger("x")
+    for _ in range(3 * logs.MAX_LINES_PER_EVENT):
         events.debug("call_taken")
         events.info("thing_done")
     told = [words(line)["event"] for line in stream.getvalue().splitlines()]
-    assert (told.count("call_taken"), told.count("thing_done")) == (3 * logs.LINES, logs.LINES)
+    assert (told.count("call_taken"), told.count("thing_done")) == (
+        3 * logs.MAX_LINES_PER_EVENT,
+        logs.MAX_LINES_PER_EVENT,
+    )
     lines(logs.Format.TEXT)
-    assert not events.debugging
+    assert not events.debug_enabled
 
 
 def followed(form: logs.Format) -> list[str]:
@@ -159,7 +162,7 @@
     assert main(["run", "--log-format", "json", "--log-level", "debug"]) == 0
     ((words, environ),) = started
     assert words == ["-m", "granitepoint", "run"]
-    assert logs.chosen(environ) == (logs.Format.JSON, logging.DEBUG)
+    assert logs.read_log_options(environ) == (logs.Format.JSON, logging.DEBUG)
     assert main(["run", "--log-format", "xml"]) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
@@ -167,5 +170,5 @@
 @pytest.mark.parametrize("name", ["EDGE_LOG_FORMAT", "EDGE_LOG_LEVEL"])
 def test_a_form_or_a_level_that_is_none_is_refused(name: str) -> None:
     with pytest.raises(ValueError, match=f"{name} is .*, not 'loud'"):
-        logs.chosen({name: "loud"})
-    assert logs.chosen({name: ""}) == logs.chosen({}) == (logs.Format.TEXT, logging.INFO)
+        logs.read_log_options({name: "loud"})
+    assert logs.read_log_options({name: ""}) == logs.read_log_options({}) == (logs.Format.TEXT, logging.INFO)
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -110,15 +110,15 @@
 
 
 def close_on_unread(self: ClientConnection) -> None:
-    if self.transport is not None and not self.leaving:
-        self.leaving = True
-        self.server.place(self, self.server.leaving)
+    if self.transport is not None and not self.closing:
+        self.closing = True
+        self.server.set_table(self, self.server.closing)
         self.transport.close()
 
 
 @pytest.mark.parametrize(
     ("name", "fault"),
-    [("gone", lambda self: False), ("close", close_on_unread)],
+    [("peer_closed", lambda self: False), ("close", close_on_unread)],
 )
 def test_a_fault_of_the_callers_side_is_found(
     name: str, fault: Callable[[ClientConnection], object], monkeypatch: pytest.MonkeyPatch
@@ -158,7 +158,7 @@
 def test_what_stands_behind_a_refused_request_on_a_connection_without_room_is_refused_too() -> None:
     model = Model(0, 1, 64)
     try:
-        for _ in range(model.server.most_open):
+        for _ in range(model.server.max_served_connections):
             caller = model.client()
             assert caller is not None
             caller.send(model.request(caller, CLASSES[0], 1.0))
