--- a/granitepoint/__init__.py
+++ b/granitepoint/__init__.py
@@ -1,4 +1,8 @@
-"""granitepoint: the decisions of a load balancer for services that call services."""
+"""granitepoint: an HTTP/1.1 load-balancing proxy for calls between services.
+
+This package exports the decision module, which does no input or output: Balancer takes events and returns
+actions.
+"""
 
 from granitepoint.interface import (
     Action,
--- a/granitepoint/__main__.py
+++ b/granitepoint/__main__.py
@@ -1,4 +1,4 @@
-"""One real proxy: reads the configuration, starts, rereads it on SIGHUP, and ends on SIGTERM."""
+"""The proxy process: loads the configuration, serves, reloads on SIGHUP and shuts down on SIGTERM."""
 
 from __future__ import annotations
 
@@ -18,22 +18,25 @@
 
 log = logs.EventLogger("granitepoint.main")
 
-SHUTDOWN_ACCEPT_S = 0.6  # s after SIGTERM at which the listener closes; the front has taken notice by then
-SHUTDOWN_MAX_DEADLINE_S = 3.0  # s of the longest deadline that the platform waits for after SIGTERM
-SHUTDOWN_KILL_DELAY_S = 0.7  # s that it waits beyond that
-SHUTDOWN_KILL_MARGIN_S = 0.4  # s before its SIGKILL by which all is answered
-SHUTDOWN_CLOSING_S = 1.0  # s before that in which each answer is the last on its connection
-SHUTDOWN_PARTIAL_REQUEST_S = (
-    0.2  # s of the wind-down in which a request that has begun to come may come whole
-)
-SHUTDOWN_POLL_INTERVAL_S = 0.01  # s between looks whether all is answered
-SHUTDOWN_LINGER_S = 1.0  # s for the last answers to be taken
+# Graceful shutdown. The platform sends SIGKILL when the longest deadline of the classes, at most
+# SHUTDOWN_MAX_DEADLINE_S, and then SHUTDOWN_KILL_DELAY_S have passed since SIGTERM.
+SHUTDOWN_ACCEPT_S = 0.6  # from SIGTERM until the listener closes; the front has noticed the shutdown by then
+SHUTDOWN_MAX_DEADLINE_S = 3.0
+SHUTDOWN_KILL_DELAY_S = 0.7
+SHUTDOWN_KILL_MARGIN_S = 0.4  # before SIGKILL, by which every request is answered
+SHUTDOWN_CLOSING_S = 1.0  # last phase before that, in which each answer closes its connection
+SHUTDOWN_PARTIAL_REQUEST_S = 0.2  # in the last phase, for partial requests to become complete
+SHUTDOWN_POLL_INTERVAL_S = 0.01  # between checks whether every request is answered
+SHUTDOWN_LINGER_S = 1.0  # for the peers to receive the last answers
 
 
 async def drain(server: Server, driver: Driver) -> None:
-    """Callers go on using a connection that stays open, and are served on it for as long as all can still
-    be answered before the SIGKILL: their other proxies may be few, or restarting too. Then each answer closes
-    its own, those that ask nothing close, and the process ends when nothing is owed any more."""
+    """Shuts down gracefully: returns once every request is answered, in time before the SIGKILL.
+
+    Open connections are served as usual for as long as all requests can still be answered in time, because
+    the callers' other proxies may be few, or restarting too. Then each answer closes its connection and idle
+    connections are closed. A request that is still incomplete at the end is refused.
+    """
     longest_deadline = max(cls.deadline for cls in driver.settings.classes)
     answer_period = (
         min(longest_deadline, SHUTDOWN_MAX_DEADLINE_S) + SHUTDOWN_KILL_DELAY_S - SHUTDOWN_KILL_MARGIN_S
@@ -49,7 +52,7 @@
     while driver.calls or (server.has_partial_request and time.monotonic() < partial_requests_until):
         server.close_idle()
         await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
-    # All is answered; the last bytes may still be on their way to a slow peer.
+    # Every complete request is answered; the last bytes may still be in transit to a slow peer.
     for _ in range(int(SHUTDOWN_LINGER_S / SHUTDOWN_POLL_INTERVAL_S)):
         server.reject_partial_requests()
         if not server.connections:
@@ -59,18 +62,21 @@
 
 
 def reload(driver: Driver) -> None:
-    """On SIGHUP: the discovery address is what may change while the proxy runs. A file that can't be used
-    changes nothing."""
+    """Rereads the discovery address, the only setting that can change at run time; called on SIGHUP.
+
+    An invalid file is logged and changes nothing.
+    """
     try:
         discovery_address = reload_discovery_address(os.environ)
     except ConfigError as error:
-        log.error("reload_failed", fault=str(error), effect="all stays as it was")
+        log.error("reload_failed", fault=str(error), effect="configuration unchanged")
         return
     log.info("reloaded", discovery="{}:{}".format(*discovery_address))
     driver.discovery.move(discovery_address)
 
 
 async def serve(config: Config) -> None:
+    """Runs the proxy until SIGTERM or SIGINT. Raises ConfigError or OSError if it can't start."""
     loop = asyncio.get_running_loop()
     terminated = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -78,11 +84,11 @@
     driver = Driver(config)
     over_limit_headers = driver.advice(NO_ROOM_ADVICE)
     server = Server(driver.effects, driver, config.sockets, config.memory_mb, over_limit_headers)
-    loop.add_signal_handler(signal.SIGHUP, reload, driver)  # before it is ready, and for good
+    loop.add_signal_handler(signal.SIGHUP, reload, driver)  # installed before readiness is announced
     driver.start()
     await server.listen(*config.listen)
     log.info("listening", address="{}:{}".format(*config.listen), ready=driver.ready())
-    # What is alive now stays alive: it need not be looked at again and again in pauses that calls wait for.
+    # Objects alive now live for ever: frozen, they don't lengthen later collections, which delay calls.
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
@@ -93,6 +99,7 @@
 
 
 def main() -> int:
+    """Runs the proxy, or another command of the command line; returns the exit code."""
     if sys.argv[1:] not in ([], ["run"]):
         from granitepoint.cli import main as command_line
 
@@ -101,7 +108,8 @@
 
 
 def run() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes while it starts finds the new file read
+    """Runs one proxy; returns the exit code: 2 for an invalid configuration, 1 for another start error."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # load() reads the current file anyway
     try:
         config = load(os.environ)
         logs.configure(sys.stderr, *config.log_options)
--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -1,4 +1,7 @@
-"""The bench's wire on standard input and output: one Balancer an instance. Decides nothing."""
+"""The simulator's line protocol on standard input and output, with one Balancer per instance.
+
+It only translates lines to events and actions to lines, and makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 
 
 class WireError(Exception):
-    """A line that can't be read; the message names the field."""
+    """A line is invalid; the message names the field."""
 
 
 def _split(parts: Iterable[str]) -> Fields:
@@ -59,7 +62,7 @@
     except KeyError:
         raise WireError(f"field {key} is missing") from None
     except ValueError:
-        raise WireError(f"field {key} is not a whole number: {fields[key]!r}") from None
+        raise WireError(f"field {key} is not an integer: {fields[key]!r}") from None
 
 
 def _number(fields: Fields, key: str, default: float | None = None) -> float:
@@ -85,7 +88,7 @@
         return True
     if text in ("0", "false"):
         return False
-    raise WireError(f"field {key} is " + ("missing" if text is None else f"not a truth value: {text!r}"))
+    raise WireError(f"field {key} is " + ("missing" if text is None else f"not a boolean: {text!r}"))
 
 
 def _int_or(fields: Fields, key: str, default: int) -> int:
@@ -130,7 +133,10 @@
 
 
 def read_settings(params: Fields) -> api.Settings:
-    """Settings from the flat path=value pairs; unknown keys are skipped, missing ones raise ValueError."""
+    """Builds the settings from flat path=value pairs; unknown keys are ignored.
+
+    Raises ValueError if a required key is missing or a value is invalid.
+    """
     try:
         return _settings(params)
     except WireError as error:
@@ -224,7 +230,7 @@
 def _entry(line: str) -> api.ServerEntry:
     tag, *parts = line.split(" ")
     if tag != "m":
-        raise WireError("a list entry was due")
+        raise WireError("expected a list entry")
     fields = _split(parts)
     state = _text(fields, "state")
     if state not in SERVER_STATES:
@@ -309,6 +315,7 @@
 
 
 def write_action(who: str, action: api.Action) -> str:
+    """Returns the line for an action of the instance `who`."""
     kind = type(action).__name__
     return ACTION_WRITERS[kind](who, action)
 
@@ -331,7 +338,7 @@
 
 
 class Host:
-    """The instances of this process and the process-wide server lists that events refer to."""
+    """The Balancer instances of this process, and the server lists that their events refer to."""
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         self.source, self.sink = source, sink
@@ -343,16 +350,18 @@
         self.now = 0.0
 
     def next_line(self) -> str | None:
+        """Returns the next line, or None at the end of input. Raises WireError if the line is incomplete."""
         line = self.source.readline()
         if not line:
             return None
         if not line.endswith("\n"):
             self.line = line
-            raise WireError("the line is cut short")
+            raise WireError("incomplete line")
         self.line = line = line.rstrip("\r\n")
         return line
 
     def run(self) -> None:
+        """Processes batches until the end of input. Raises WireError or ValueError on invalid input."""
         while True:
             line = self.next_line()
             if line is None:
@@ -361,7 +370,7 @@
                 continue
             tag, _, rest = line.partition(" ")
             if tag != "tick":
-                raise WireError("a tick was due")
+                raise WireError("expected a tick")
             fields = _split(rest.split(" "))
             self.now = _number(fields, "clock")
             seq = _text(fields, "seq")
@@ -374,14 +383,15 @@
             self.replies.clear()
 
     def read_batch(self) -> None:
+        """Reads the events of one batch, up to your_turn, and queues them by instance."""
         readers, pending, readline = EVENT_READERS, self.pending, self.source.readline
         while True:
             line = readline()
             if not line:
-                raise WireError("the batch is cut short: your_turn is missing")
+                raise WireError("incomplete batch: your_turn is missing")
             if line[-1] != "\n":
                 self.line = line
-                raise WireError("the line is cut short")
+                raise WireError("incomplete line")
             self.line = line = line[:-1]
             parts = line.split(" ")
             tag = parts[0]
@@ -412,9 +422,10 @@
                 pending.pop(who, None)
                 self.instances.pop(who, None)
             elif not tag or tag in NON_EVENT_TAGS:
-                raise WireError("an event was due")
+                raise WireError("expected an event")
 
     def on_manifest(self, fields: Fields) -> None:
+        """Reads the entries of a server list into a slot."""
         count = _int(fields, "nodes_list")
         if count < 0:
             raise WireError(f"field nodes_list is out of range: {count}")
@@ -423,11 +434,12 @@
         for _ in range(count):
             line = self.next_line()
             if line is None:
-                raise WireError("the batch is cut short: a list entry is missing")
+                raise WireError("incomplete batch: a list entry is missing")
             entries.append(_entry(line))
         self.lists[slot] = entries
 
     def on_list(self, fields: Fields) -> None:
+        """Queues a server list for an instance."""
         who = _text(fields, "who")
         scope = _text(fields, "scope")
         if scope not in LIST_KINDS:
@@ -437,13 +449,14 @@
         if kind is not api.ListKind.FAILED:
             slot = _int(fields, "slot")
             if slot not in self.lists:
-                raise WireError(f"field slot names no list: {slot}")
+                raise WireError(f"field slot refers to no list: {slot}")
             entries = self.lists[slot]
         if who in self.instances:
             version = _int_or(fields, "stamp", 0)
             self.pending.setdefault(who, []).append(api.ServerList(kind, entries, version))
 
     def flush(self, who: str) -> None:
+        """Passes the queued events to an instance; an exception it raises becomes a `fatal` line."""
         events = self.pending.pop(who)
         try:
             for action in self.instances[who].handle(self.now, events):
@@ -455,6 +468,7 @@
 
 
 def main() -> int:
+    """Serves the simulator until the end of input; returns 2 after invalid input."""
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
     if isinstance(sys.stdin, io.TextIOWrapper):
--- a/granitepoint/net/__init__.py
+++ b/granitepoint/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy round the decision module: sockets on one side, events and actions on the other."""
+"""The network side of the proxy: connects sockets to the events and actions of the decision module."""
--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one proxy: EDGE_* and the JSON file, read into one typed object."""
+"""The configuration of one proxy: the JSON file and the EDGE_* variables, read into one typed object."""
 
 from __future__ import annotations
 
@@ -16,28 +16,30 @@
 from granitepoint.net import logs
 
 Address = tuple[str, int]
-MAX_SEED = 1 << 256
+MAX_SEED = 1 << 256  # exclusive, for either sign
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the message is one line."""
+    """The configuration is invalid; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of one proxy. An address is a numeric host with a port."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    sockets: int  # limit of open file descriptors
     memory_mb: float
-    known: Mapping[str, Any]  # the list of backends as last held, in discovery's form
+    known: Mapping[str, Any]  # the last known list of servers, in discovery's format
     settings: Settings
-    log_options: tuple[logs.Format, int] = (logs.Format.TEXT, logging.INFO)  # how, and from which level on
+    log_options: tuple[logs.Format, int] = (logs.Format.TEXT, logging.INFO)  # format and minimum level
 
 
 def parse_address(text: object) -> Address:
-    """`host:port` with a numeric host; there is no DNS."""
+    """Parses `host:port` with a numeric host; names are not resolved. Raises ValueError."""
     if not isinstance(text, str):
         raise ValueError(f"not an address: {text!r}")
     host, colon, port = text.rpartition(":")
@@ -47,13 +49,13 @@
 
 
 def parse_ipv4_address(text: object) -> Address:
-    """Where this proxy listens, or asks: sockets are IPv4 alone, and a name would be looked up nowhere."""
+    """Parses `host:port` with an IPv4 host: the proxy's sockets are IPv4 only. Raises ValueError."""
     host, port = parse_address(text)
     return str(IPv4Address(host)), port
 
 
 def flatten_settings(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
-    """The settings object as the simulator's flat path=value pairs, so that both have one reader."""
+    """Converts the settings object to the simulator's flat path=value pairs; one parser serves both."""
     pairs = {} if into is None else into
     if isinstance(value, dict):
         for key, item in value.items():
@@ -74,9 +76,10 @@
 
 
 def parse_seed(text: object) -> int:
+    """Parses a seed: a string of hexadecimal digits, or an integer, below 256 bits. Raises ValueError."""
     seed = int(text, 16) if isinstance(text, str) else int(str(text))
     if abs(seed) >= MAX_SEED:
-        raise ValueError("no such seed: over 256 bits")
+        raise ValueError("seed is longer than 256 bits")
     return seed
 
 
@@ -86,18 +89,18 @@
         raise ValueError("EDGE_CONFIG is not set")
     raw = json.loads(Path(path).read_text(encoding="utf-8"))
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-        raise ValueError("the file holds no settings object")
+        raise ValueError("the file has no settings object")
     return raw
 
 
 def _config_error(error: Exception) -> ConfigError:
-    """One line, and no control characters of what the file holds."""
+    """Returns the error with a one-line message, control characters from the file escaped."""
     text = " ".join(f"bad configuration: {error}".split())
     return ConfigError("".join(char if char.isprintable() else ascii(char)[1:-1] for char in text))
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Reads the file that EDGE_CONFIG names; the other variables override what it says."""
+    """Reads the file named by EDGE_CONFIG; the other EDGE_* variables override it. Raises ConfigError."""
     try:
         raw = _read_file(environ)
         known = raw.get("known") or {}
@@ -109,10 +112,10 @@
             soft_limit = 1 << 20
         sockets = min(int(limits.get("sockets", soft_limit)), soft_limit)
         if sockets < 64:
-            raise ValueError(f"too few sockets: {sockets}")
+            raise ValueError(f"limits.sockets is below 64: {sockets}")
         memory_mb = float(limits.get("memory_mb", 192))
         if not 0 < memory_mb < 1 << 30:
-            raise ValueError(f"no such memory: {memory_mb}")
+            raise ValueError(f"limits.memory_mb is out of range: {memory_mb}")
         return Config(
             name=environ.get("EDGE_NAME") or str(raw.get("name", "")),
             listen=parse_ipv4_address(environ.get("EDGE_LISTEN") or raw.get("listen")),
@@ -129,8 +132,11 @@
 
 
 def reload_discovery_address(environ: Mapping[str, str]) -> Address:
-    """The address of discovery as the file has it now. EDGE_DISCOVERY does not override it: a process keeps
-    the variables it was started with, so a reload could never change anything."""
+    """Reads the discovery address from the file again. Raises ConfigError.
+
+    EDGE_DISCOVERY does not override it here: the variables of a running process don't change, so a reload
+    could never change the address.
+    """
     try:
         return parse_ipv4_address(_read_file(environ).get("discovery"))
     except (OSError, ValueError, RecursionError) as error:
--- a/granitepoint/net/listener.py
+++ b/granitepoint/net/listener.py
@@ -1,7 +1,7 @@
-"""The listening socket: accepts what clients open, and says of each errno of accept(2) what follows from it.
+"""The listening socket: accepts connections and handles the errors of accept(2).
 
-The event loop's own listener answers EMFILE and ENFILE by closing what waits, which ends requests that no
-one has read. Here it stays in the backlog of the kernel and is accepted some milliseconds later.
+The event loop's own listener answers EMFILE and ENFILE by closing the waiting connections, and the requests
+sent on them are lost. This one leaves them in the kernel's backlog and accepts them some milliseconds later.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 log = EventLogger(__name__)
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPT_RETRY_DELAY_S = 0.01  # s until accept is called again after it said that this machine lacks something
-# Errors of the connection that was waiting, which is gone with them. All others are of this machine, for a
-# moment: nothing that waits is lost by waiting on.
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+ACCEPT_RETRY_DELAY_S = 0.01  # after accept failed because this machine lacked a resource
+# Errors of the accepted connection itself, which is then gone. All other errors are temporary conditions of
+# this machine: the connections stay in the backlog, so accept can be retried later.
 PEER_ERRNOS = frozenset(
     (
         errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
@@ -30,7 +30,7 @@
 
 
 class Listener:
-    """An open address, until it is closed. Each connection gets a protocol of its own."""
+    """Listens on an address until closed. Each connection gets its own protocol object."""
 
     def __init__(
         self,
@@ -39,22 +39,24 @@
         protocol_factory: Callable[[], asyncio.Protocol],
         evict_connection: Callable[[], object],
     ) -> None:
-        """`make_room` is asked to give up a connection where this process has no descriptor left. Raises
-        OSError where the address can't be had."""
+        """Binds the address. `evict_connection` is called when the process has run out of descriptors.
+
+        Raises OSError if the address is unavailable.
+        """
         self.loop = asyncio.get_running_loop()
         self.protocol_factory, self.evict_connection = protocol_factory, evict_connection
-        # Given a name, even a numeric one, the loop starts four threads to look it up, and keeps them.
+        # Given a host, even a numeric one, the loop would start four threads to resolve it and keep them.
         self.socket = socket.create_server((host, port), backlog=BACKLOG)
         self.socket.setblocking(False)
         self.port = int(self.socket.getsockname()[1])
-        self.attaching: set[asyncio.Task[None]] = set()  # accepted, and not yet connections of the loop
+        self.attaching: set[asyncio.Task[None]] = set()  # accepted, not yet attached to the loop
         self.retry_timer: asyncio.TimerHandle | None = None
         self.closed = False
         self.loop.add_reader(self.socket, self._accept)
 
     @property
     def has_pending(self) -> bool:
-        """Whether something that has connected is not yet a connection of the loop."""
+        """Whether connections wait in the backlog or are not attached to the event loop yet."""
         if self.closed:
             return bool(self.attaching)
         poll = select.poll()
@@ -62,7 +64,7 @@
         return bool(self.attaching or poll.poll(0))
 
     def close(self) -> None:
-        """What the kernel holds for it is reset: see `pending`."""
+        """Closes the socket; the kernel resets the connections in the backlog (see `has_pending`)."""
         if not self.closed:
             self.closed = True
             if self.retry_timer is not None:
@@ -71,9 +73,11 @@
             self.socket.close()
 
     def _accept(self) -> None:
-        """One in a turn of the loop, and the next once it is a connection: what those before it ask is read
-        and answered meanwhile, so that they can make room. Accepted all at once, those past the bound on
-        connections were reset with their requests unread."""
+        """Accepts one connection per turn of the event loop, and the next one only when this one is attached.
+
+        In between, requests of earlier connections are read and answered, so that these can be evicted. When
+        all were accepted at once, those over the connection limit were reset with their requests unread.
+        """
         if self.attaching:
             return
         try:
@@ -89,7 +93,7 @@
         task.add_done_callback(self.attaching.discard)
 
     def _retry_later(self, error: OSError) -> None:
-        """Looked at again after a pause: the socket stays readable, and the loop would spin."""
+        """Stops polling the socket for a while: it stays readable, so the event loop would spin."""
         log.warning("accept_failed", fault=str(error), again_s=ACCEPT_RETRY_DELAY_S)
         if error.errno == OUT_OF_DESCRIPTORS:
             self.evict_connection()
@@ -104,7 +108,7 @@
     async def _attach(self, accepted: socket.socket) -> None:
         try:
             accepted.setblocking(False)
-            # Small answers would wait for the peer's acknowledgement, and go with a reset.
+            # Otherwise a small answer waits for the peer's acknowledgement and is lost if a reset comes first.
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self.loop.connect_accepted_socket(self.protocol_factory, accepted)
         except OSError as error:
--- a/granitepoint/net/logs.py
+++ b/granitepoint/net/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one event a line, a name with named values, as key=value or as JSON.
+"""Structured logs: one event per line with named values, as logfmt or as JSON.
 
-Source of the first form: logfmt, words of `key=value` with a value in JSON's quotes where it holds blanks,
-quotes, `=` or control characters. Each line has `time` (UTC, to the millisecond), `level` and `event` first.
+A logfmt line consists of `key=value` words; a value with blanks, quotes, `=` or control characters is quoted
+as in JSON. Every line starts with `time` (UTC, in milliseconds), `level` and `event`.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from enum import Enum
 from typing import Any, TextIO
 
-MAX_LINES_PER_EVENT = 20  # of one event
-RATE_LIMIT_WINDOW_S = 10.0  # s for which no more are written
-INVALID_KEY_CHARACTERS = re.compile(r"[^\w.-]+", re.ASCII)  # in a key, which may hold a class's name
-UNQUOTED_VALUE = re.compile(r"[!#-<>-~]+")  # a value that needs no quotes
-MAX_VALUE_CHARACTERS = 400  # characters of a value that came from elsewhere
+MAX_LINES_PER_EVENT = 20  # in each rate-limit window
+RATE_LIMIT_WINDOW_S = 10.0
+INVALID_KEY_CHARACTERS = re.compile(r"[^\w.-]+", re.ASCII)  # a key may contain a class name
+UNQUOTED_VALUE = re.compile(r"[!#-<>-~]+")  # matches a value that needs no quotes
+MAX_VALUE_CHARACTERS = 400  # longer text, for example from a peer, is truncated
 
 
 class Format(Enum):
-    """How a line is written."""
+    """The format of a log line."""
 
     TEXT = "text"
     JSON = "json"
 
 
 class EventLogger:
-    """Where a part of the program tells what happened.
+    """Logs the events of one module.
 
-    An event is a constant name in snake case. Its values are numbers, strings or None, their units
-    at the end of their names (`_s`, `_bytes`); None is left out, and a request's id stands under `id`.
+    An event is a constant name in snake case. Its values are numbers, strings or None, with the unit at the
+    end of the key (`_s`, `_bytes`). None is left out; a request's id has the key `id`.
     """
 
     __slots__ = ("logger",)
@@ -44,37 +44,42 @@
 
     @property
     def debug_enabled(self) -> bool:
-        """Whether each request's own lines are wanted: ask before you make their values."""
+        """Whether per-request events are logged; check it before computing their values."""
         return self.logger.isEnabledFor(logging.DEBUG)
 
     def debug(self, event: str, **values: object) -> None:
+        """Logs an event of one request."""
         if self.logger.isEnabledFor(logging.DEBUG):
             self.logger.debug(event, extra={"values": values})
 
     def info(self, event: str, **values: object) -> None:
+        """Logs an event of normal operation."""
         if self.logger.isEnabledFor(logging.INFO):
             self.logger.info(event, extra={"values": values})
 
     def warning(self, event: str, **values: object) -> None:
+        """Logs a problem that was handled."""
         self.logger.warning(event, extra={"values": values})
 
     def error(self, event: str, **values: object) -> None:
+        """Logs a failure."""
         self.logger.error(event, extra={"values": values})
 
     def exception(self, event: str, **values: object) -> None:
-        """An error with the traceback of the exception that is handled now."""
+        """Logs a failure with the traceback of the exception being handled."""
         self.logger.exception(event, extra={"values": values})
 
 
 class LineFormatter(logging.Formatter):
-    """A record as one line; what `Events` did not write has its text as the event."""
+    """Formats a record as one line; for a record not from EventLogger the message is the event."""
 
     def __init__(self, line_format: Format) -> None:
         super().__init__()
         self.line_format = line_format
-        self.second, self.stamp = -1, ""  # the last whole second, and how it is written
+        self.second, self.stamp = -1, ""  # the last second formatted, and its text
 
     def format(self, record: logging.LogRecord) -> str:
+        """Returns the line without a newline at its end."""
         whole = int(record.created)
         if whole != self.second:
             self.second, self.stamp = whole, time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole))
@@ -98,7 +103,7 @@
 
 def _normalize(value: object) -> object:
     if isinstance(value, float):
-        # To a microsecond, where it is a time; JSON has no endless numbers.
+        # Times have microsecond precision; JSON has no infinity and no NaN.
         return round(value, 6) if math.isfinite(value) else str(value)
     if isinstance(value, bytes):
         value = value.decode("latin-1")
@@ -113,7 +118,7 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """A flood of bad input must not become a flood of lines. Those for debugging are asked for: all pass."""
+    """Limits the lines per event, so that a flood of bad input can't flood the log; DEBUG is not limited."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -121,18 +126,19 @@
         self.line_counts: Counter[object] = Counter()
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Returns whether the record is written."""
         if record.levelno <= logging.DEBUG:
             return True
         now = time.monotonic()
         if now >= self.window_end:
             self.window_end = now + RATE_LIMIT_WINDOW_S
             self.line_counts.clear()
-        self.line_counts[record.msg] += 1  # the event, not its values
+        self.line_counts[record.msg] += 1  # keyed by the event, without its values
         return self.line_counts[record.msg] <= MAX_LINES_PER_EVENT
 
 
 def read_log_options(environ: Mapping[str, str]) -> tuple[Format, int]:
-    """The form and the level that EDGE_LOG_FORMAT and EDGE_LOG_LEVEL ask for. Raises ValueError."""
+    """Returns the format and level set by EDGE_LOG_FORMAT and EDGE_LOG_LEVEL. Raises ValueError."""
     line_format, level = environ.get("EDGE_LOG_FORMAT") or "text", environ.get("EDGE_LOG_LEVEL") or "info"
     if line_format not in [each.value for each in Format]:
         raise ValueError(f"EDGE_LOG_FORMAT is text or json, not {line_format!r}")
@@ -142,11 +148,11 @@
 
 
 def configure(stream: TextIO, line_format: Format = Format.TEXT, level: int = logging.INFO) -> None:
-    """From here on all that the process logs goes to that stream, a line each."""
+    """Sends all logs of the process to the stream, one line per record."""
     handler: logging.StreamHandler[Any] = logging.StreamHandler(stream)
     handler.setFormatter(LineFormatter(line_format))
     handler.addFilter(RateLimitFilter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
-    # Nothing of this is written: who called, and which thread, process and task it was.
-    logging._srcfile = None  # as the library's own page on speed says
+    # Skips collecting the caller, thread, process and task of each record: they aren't logged.
+    logging._srcfile = None  # documented in the logging HOWTO, section Optimization
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
--- a/granitepoint/net/server.py
+++ b/granitepoint/net/server.py
@@ -210,7 +210,7 @@
         # After invalid input the rest is read and dropped: a close on unread bytes could lose the answer.
         self.discarding_input = False
         self.closing = False  # the last answer has been written
-        self.over_limit = False  # over the connection limit or shutting down: requests are refused
+        self.over_limit = False  # requests are refused: no connection capacity, or the end of the shutdown
         self.table: dict[ClientConnection, None] | None = None  # one of the server's tables
         self.table_since = 0.0  # s, monotonic, of the move to that table
         self.write_blocked = False  # the write buffer is full because the peer does not read
@@ -223,7 +223,8 @@
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None  # breaks a reference cycle; freed without gc
+        # The parser refers to this object: the cycle would otherwise stay until the next garbage collection.
+        self.transport = self.parser = None
         self.closing = True
         self.pending_requests.clear()
         self.server.set_table(self, None)
@@ -278,6 +279,7 @@
         self._process_next()
 
     def _reject_input(self, rejection: BadRequest) -> None:
+        """Queues the error answer, after which the connection closes, and discards all further input."""
         self.pending_requests.append((rejection, False))
         self.body = []
         self.discarding_input = True
@@ -486,8 +488,8 @@
 class Server:
     """The listener and the connections of the callers.
 
-    A connection without an open request is in exactly one of three tables, by what it waits for:
-    awaiting_request, idle or closing. Each table is ordered by the time of entry, the oldest first.
+    A connection without an open request is in one of three tables, by what it waits for: awaiting_request,
+    idle or closing. Each table is ordered by the time of entry, the oldest first.
     """
 
     def __init__(
@@ -518,7 +520,7 @@
         self.closing: dict[ClientConnection, None] = {}  # the last answer has been written
         self.draining = False  # graceful shutdown: each answer closes its connection
         self.listener: Listener | None = None
-        self.sweep_due = 0.0
+        self.sweep_due = 0.0  # s, monotonic
 
     def set_table(self, connection: ClientConnection, table: dict[ClientConnection, None] | None) -> None:
         """Moves a connection to the end of a table, or out of all tables (None)."""
@@ -594,7 +596,7 @@
             self.listener.close()
 
     def close_idle(self) -> None:
-        """Closes every connection without a request, not even a partial or unread one."""
+        """Closes the connections that have no request, neither a partial nor an unread one."""
         for connection in [*self.idle, *self.awaiting_request]:
             if not connection.has_partial_request and not connection.has_unread_data():
                 connection.close()
