--- a/granitepoint/net/listener.py
+++ b/granitepoint/net/listener.py
@@ -108,7 +108,7 @@
     async def _attach(self, accepted: socket.socket) -> None:
         try:
             accepted.setblocking(False)
-            # Otherwise a small answer waits for the peer's acknowledgement and is lost if a reset comes first.
+            # Otherwise small answers wait for the peer's acknowledgement and are lost with a reset.
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self.loop.connect_accepted_socket(self.protocol_factory, accepted)
         except OSError as error:
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -1,4 +1,4 @@
-"""Loopback pieces for the tests of the real proxy: a backend, a discovery and a caller, on port 0."""
+"""Test doubles on loopback sockets for the tests of the real proxy: backend, discovery service and caller."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from urllib.parse import parse_qs
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # s; a test that waits longer has failed
+TEST_TIMEOUT_S = 20.0  # a test that waits longer fails
 
 GRADES: list[dict[str, Any]] = [
     {"name": "stock", "value": 12.0, "objective": 0.5, "deadline": 1.2, "effect": "repeatable"},
@@ -40,8 +40,8 @@
 }  # fmt: skip
 
 
-class Seen:
-    """A request as a backend got it."""
+class ReceivedRequest:
+    """A request as a backend received it."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, connection: int) -> None:
         self.method, self.target, _ = line.split(" ")
@@ -66,38 +66,43 @@
 
 
 @contextlib.contextmanager
-def held_address() -> Iterator[str]:
-    """An address that the system gives to nobody else meanwhile: it is bound here and not listened on, so the
-    program can listen on it, for both sides reuse addresses."""
-    with socket.socket() as holder:
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind(("127.0.0.1", 0))
-        yield f"127.0.0.1:{holder.getsockname()[1]}"
+def reserved_address() -> Iterator[str]:
+    """Reserves a loopback address (`host:port`) until the context ends.
 
+    The address is bound but not listened on, so the system assigns it to nobody else. The proxy can still
+    listen on it, since both sides set SO_REUSEADDR.
+    """
+    with socket.socket() as reserved:
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind(("127.0.0.1", 0))
+        yield f"127.0.0.1:{reserved.getsockname()[1]}"
 
-Behaviour = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
 
+Behaviour = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
-async def serve_ok(seen: Seen, writer: asyncio.StreamWriter) -> None:
+
+async def serve_ok(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(200, b"done " + seen.headers["x-call-id"].encode()))
 
 
 class Backend:
-    """Answers calls by `behave`; keeps what it saw, apart from probes, and its addresses for as long as it is
-    there: once it is stopped nobody else answers at them."""
+    """A backend that answers calls with `behave` and records them; probes are answered but not recorded.
+
+    It keeps its address reserved even after stop(), so that no other process answers there.
+    """
 
     def __init__(self, behave: Behaviour = serve_ok) -> None:
         self.behave = behave
-        self.calls: asyncio.Queue[Seen] = asyncio.Queue()
-        self.count = self.connections = 0
-        self.closed: asyncio.Queue[int] = asyncio.Queue()  # connections that the proxy closed
+        self.calls: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
+        self.call_count = self.connections = 0
+        self.closed: asyncio.Queue[int] = asyncio.Queue()  # numbers of the connections closed by the proxy
         self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
-        self.held = contextlib.ExitStack()
+        self.reservation = contextlib.ExitStack()
         self.server: asyncio.Server | None = None
 
     async def start(self) -> Backend:
-        self.address = self.held.enter_context(held_address())
+        self.address = self.reservation.enter_context(reserved_address())
         host, _, port = self.address.rpartition(":")
         self.server = await asyncio.start_server(self._connection, host, int(port))
         return self
@@ -108,11 +113,11 @@
         self.writers.append(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                seen = Seen(*await read_message(reader), number)
+                seen = ReceivedRequest(*await read_message(reader), number)
                 if seen.target == "/load":
                     writer.write(response(200, b"inflight=0,queue=0"))
                     continue
-                self.count += 1
+                self.call_count += 1
                 self.calls.put_nowait(seen)
                 await self.behave(seen, writer)
         self.closed.put_nowait(number)
@@ -126,11 +131,11 @@
 
 
 class Discovery:
-    """Tells each change as it is put, and that nothing has changed once a watch was held for its time."""
+    """A discovery service: answers with each published change, or with none when the hold time is over."""
 
     def __init__(self) -> None:
         self.changes: asyncio.Queue[bytes] = asyncio.Queue()
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
+        self.requests: asyncio.Queue[str] = asyncio.Queue()
         self.address = ""
         self.server: asyncio.Server | None = None
 
@@ -145,13 +150,13 @@
             while True:
                 line, _, _ = await read_message(reader)
                 target = line.split(" ")[1]
-                self.asked.put_nowait(target)
+                self.requests.put_nowait(target)
                 writer.write(await self._next_change(target))
         writer.close()
 
-    async def until_asked(self, target: str) -> None:
-        """Past the calls that confirm the list."""
-        while not (await self.asked.get()).startswith(target):
+    async def wait_for_request(self, target: str) -> None:
+        """Waits for a request of this target; skips others, such as those that confirm the list."""
+        while not (await self.requests.get()).startswith(target):
             pass
 
     async def _next_change(self, target: str) -> bytes:
@@ -164,9 +169,9 @@
             unchanged = listing(int(query["from"][0]), snapshot=False)
             return response(200, json.dumps(unchanged).encode())
 
-    def put(self, index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
-        told = json.dumps(listing(index, *endpoints, snapshot=snapshot))
-        self.changes.put_nowait(response(200, told.encode()))
+    def publish(self, index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
+        listed = json.dumps(listing(index, *endpoints, snapshot=snapshot))
+        self.changes.put_nowait(response(200, listed.encode()))
 
 
 def endpoint(name: str, address: str, status: str = "Ready", **more: Any) -> dict[str, Any]:
@@ -179,12 +184,14 @@
 
 
 class Answer:
+    """An answer as a caller received it."""
+
     def __init__(self, line: str, headers: dict[str, str], body: bytes) -> None:
         self.code, self.headers, self.body = int(line.split(" ")[1]), headers, body
 
 
 class Caller:
-    """One caller's connection."""
+    """A connection of one caller to the proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -200,7 +207,7 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def answer(self) -> Answer:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return Answer(*await read_message(self.reader))
 
     async def call(
@@ -213,29 +220,33 @@
         self.writer.write(data)
         return await self.answer()
 
-    async def ended(self) -> bool:
-        async with asyncio.timeout(PATIENCE):
+    async def closed_by_proxy(self) -> bool:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 return await self.reader.read(1) == b""
             return True
 
 
 class Proxy:
-    """The program itself, as a process."""
+    """The proxy as a separate process."""
 
     def __init__(
-        self, process: asyncio.subprocess.Process, address: tuple[str, int], path: Path, first: dict[str, Any]
+        self,
+        process: asyncio.subprocess.Process,
+        address: tuple[str, int],
+        path: Path,
+        initial_config: dict[str, Any],
     ) -> None:
-        self.process, self.address, self.path, self.first = process, address, path, first
+        self.process, self.address, self.path, self.initial_config = process, address, path, initial_config
 
     async def caller(self) -> Caller:
         return Caller(*await asyncio.open_connection(*self.address))
 
     def reload(self, **changes: Any) -> None:
-        """Replaces the file (with `text`, or with these keys changed), then sends SIGHUP."""
+        """Replaces the configuration file, by `text` or with these keys changed, and sends SIGHUP."""
         text = changes.pop("text", None)
         if text is None:
-            text = json.dumps({**self.first, **changes})
+            text = json.dumps({**self.initial_config, **changes})
         new = self.path.with_suffix(".new")
         new.write_text(text, encoding="utf-8")
         new.replace(self.path)
@@ -244,8 +255,8 @@
     def terminate(self) -> None:
         self.process.send_signal(signal.SIGTERM)
 
-    async def code(self) -> int:
-        async with asyncio.timeout(PATIENCE):
+    async def exit_code(self) -> int:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
 
@@ -268,7 +279,7 @@
 
 
 async def until_ready(process: asyncio.subprocess.Process, address: tuple[str, int]) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 caller = Caller(*await asyncio.open_connection(*address))
@@ -278,7 +289,7 @@
                     return
             if process.returncode is not None:
                 assert process.stderr is not None
-                raise AssertionError(f"the program ended: {(await process.stderr.read()).decode()}")
+                raise AssertionError(f"the proxy exited: {(await process.stderr.read()).decode()}")
             await asyncio.sleep(0.02)
 
 
@@ -286,16 +297,16 @@
 async def proxy(
     backends: dict[str, Backend], discovery: Discovery | None = None, /, **changes: Any
 ) -> AsyncIterator[Proxy]:
-    """A proxy before these backends, ready; ended by force if the test has not ended it."""
+    """Runs a proxy in front of these backends, ready to serve; kills it at the end if it still runs."""
     variables = changes.pop("variables", {})
-    own = discovery or await Discovery().start()
+    own_discovery = discovery or await Discovery().start()
     for backend in backends.values():
         if not backend.address:
             await backend.start()
     known = listing(1, *(endpoint(name, backend.address) for name, backend in backends.items()))
-    with held_address() as listen, tempfile.TemporaryDirectory() as folder:
+    with reserved_address() as listen, tempfile.TemporaryDirectory() as folder:
         host, _, port = listen.rpartition(":")
-        raw = config(own.address, known, listen, **changes)
+        raw = config(own_discovery.address, known, listen, **changes)
         process = await start_program(raw, folder, **variables)
         try:
             await until_ready(process, (host, int(port)))
@@ -306,18 +317,18 @@
                 await process.wait()
             for backend in backends.values():
                 await backend.stop()
-            if own.server is not None:
-                own.server.close()
+            if own_discovery.server is not None:
+                own_discovery.server.close()
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(4 * PATIENCE):
+        async with asyncio.timeout(4 * TEST_TIMEOUT_S):
             await test
 
     asyncio.run(bounded())
 
 
-async def next_call(backend: Backend) -> Seen:
-    async with asyncio.timeout(PATIENCE):
+async def next_call(backend: Backend) -> ReceivedRequest:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         return await backend.calls.get()
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -1,15 +1,9 @@
-"""Descriptors that the machine has none of for a moment, while clients connect.
+"""Connections that arrive while accept() lacks descriptors must be accepted later, not closed.
 
-What users saw: 10 to 40 requests on new connections ended without an answer, all within one millisecond.
-
-The order of events: accept gave ENFILE for three seconds, to six calls in ten. Clients that had connected and
-sent their request were cut off.
-
-The cause: the event loop's library answers ENFILE and EMFILE by giving up a spare descriptor to accept
-whatever waits and close it. Those connections were the machine's for the proxy, with whole requests on them.
-
-The evidence: with ECONNABORTED, ENOBUFS and EINTR, which it handles otherwise, none was lost; the end came
-in the same millisecond for all that waited.
+On ENFILE and EMFILE the event loop's own library frees a spare descriptor, accepts whatever waits in the
+backlog and closes it. When accept failed with ENFILE for three seconds, in six calls of ten, 10 to 40 requests
+that had been sent on new connections ended without an answer, all within one millisecond. ECONNABORTED,
+ENOBUFS and EINTR, which the library handles otherwise, lost none.
 """
 
 from __future__ import annotations
@@ -23,25 +17,25 @@
 from granitepoint.faults.rig import rig
 from granitepoint.faults.syscalls import Fault, build, compiler, environment, injected
 
-FROM, UNTIL = 0.5, 3.5  # s of the process's life
+ERRORS_FROM_S, ERRORS_UNTIL_S = 0.5, 3.5  # since the start of the process
 CLIENTS = 6
 
 
 @pytest.mark.skipif(compiler() is None, reason="no C compiler")
 @pytest.mark.parametrize("errno", ["ENFILE", "EMFILE", "ENOBUFS", "ECONNABORTED"])
-def test_what_waits_while_accept_fails_is_accepted_later(errno: str, tmp_path: Path) -> None:
+def test_connections_in_the_backlog_are_accepted_after_accept_errors(errno: str, tmp_path: Path) -> None:
     async def test() -> None:
-        plan = [Fault("accept", errno, 0.6, FROM, UNTIL)]
+        plan = [Fault("accept", errno, 0.6, ERRORS_FROM_S, ERRORS_UNTIL_S)]
         counts = tmp_path / "counts"
-        async with rig(tmp_path, 1, servers=2) as made:
-            proxy = await made.add_proxy(environment(build(tmp_path), plan, 1, counts))
-            await made.ready()
-            clients = made.start_clients(proxy, CLIENTS)
-            await asyncio.sleep(UNTIL)
-            made.clients[0].stopped = True
+        async with rig(tmp_path, 1, servers=2) as test_rig:
+            proxy = await test_rig.add_proxy(environment(build(tmp_path), plan, 1, counts))
+            await test_rig.ready()
+            clients = test_rig.start_clients(proxy, CLIENTS)
+            await asyncio.sleep(ERRORS_UNTIL_S)
+            test_rig.clients[0].stopped = True
             await clients
             assert injected(plan, counts)[plan[0]] > 10
-            assert made.breaks() == []
-            assert all(request.code == 200 for request in made.clients[0].requests)
+            assert test_rig.breaks() == []
+            assert all(request.code == 200 for request in test_rig.clients[0].requests)
 
     run(test())
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,7 +12,7 @@
 
 import httptools
 import pytest
-from netkit import PATIENCE, Backend, Seen, proxy, response, run
+from netkit import TEST_TIMEOUT_S, Backend, ReceivedRequest, proxy, response, run
 
 from granitepoint.interface import ServerEntry, ServerState, Status
 from granitepoint.net import upstream as up
@@ -53,14 +53,14 @@
         reply = await caller.call("canje", "a" * 16, budget="5000m")
         assert reply.code == 502 and "retry-after" not in reply.headers
         assert asyncio.get_running_loop().time() - begun < 1.5
-        assert backend.count == 1
-        async with asyncio.timeout(PATIENCE):
+        assert backend.call_count == 1
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await backend.closed.get()
 
 
 @pytest.mark.parametrize("spoilt", BAD.values(), ids=BAD)
 def test_a_spoilt_answer_ends_its_attempt_at_once(spoilt: bytes) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(spoilt)
 
     run(failed_at_once(Backend(behave)))
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize(("begin", "more"), ENDLESS.values(), ids=ENDLESS)
 def test_an_answer_without_end_is_cut_off(begin: bytes, more: bytes) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(begin)
         with contextlib.suppress(ConnectionError):
             while True:
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize(("answer", "kept"), GOOD.values(), ids=GOOD)
 def test_a_good_answer_is_served_and_what_came_behind_it_is_not(answer: bytes, kept: bool) -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
 
         backend = Backend(behave)
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("blank", [b"", b" "])
 def test_an_answer_may_end_with_its_connection_if_it_says_so(blank: bytes) -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Connection: close" + blank + b"\r\n\r\nme")
             await writer.drain()
             writer.close()
@@ -161,16 +161,16 @@
             request = b"POST /canje HTTP/1.1\r\n\r\n"
             owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, ended.put_nowait))
 
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             if not answers_before:
-                monkeypatch.setattr(up, "PROVE", PATIENCE)  # the break comes before the last byte
+                monkeypatch.setattr(up, "PROVE", TEST_TIMEOUT_S)  # the break comes before the last byte
             start()
             backend, _ = await loop.sock_accept(listener)
             for _ in range(answers_before):
                 await whole_request(backend)
                 backend.sendall(response(200, b"first"))
                 assert (await ended.get()).body == b"first"
-                monkeypatch.setattr(up, "PROVE", PATIENCE)
+                monkeypatch.setattr(up, "PROVE", TEST_TIMEOUT_S)
                 start()
             assert await loop.sock_recv(backend, 1000)
             monkeypatch.setattr(up, "PROVE", 0.001)
@@ -208,7 +208,7 @@
             )
             return (await ended.get()).rested
 
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await rested(5.0) == 0.0
             owner.by_id[1].idle[0].idle_since -= 4.0
             kept = await rested(5.0)
@@ -246,7 +246,7 @@
             request = b"GET /stock HTTP/1.1\r\n\r\n"
             owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, done))
 
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             start()
             backend, _ = await loop.sock_accept(listener)
             await whole_request(backend)
@@ -284,7 +284,7 @@
         ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
         request = b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
         owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, ended.put_nowait))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert (await ended.get()).status is Status.OK
         await backend.stop()
 
@@ -316,7 +316,7 @@
         owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry)]))
         ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
         request = b"GET /stock HTTP/1.1\r\n\r\n"
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for body in (b"old", b"new"):
                 at = owner.by_id[1]
                 owner.start(up.Exchange(at, lambda _: request, 5.0, lambda: True, ended.put_nowait))
@@ -350,7 +350,7 @@
 
         request = b"GET / HTTP/1.1\r\n\r\n"
         owner.start(up.Exchange(owner.by_id[1], lambda _: request, 0.05, lambda: True, done))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             connection = await ended
             while connection.transport is not None:
                 await asyncio.sleep(0)
@@ -366,7 +366,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"].startswith("dead"):
                 writer.transport.abort()
             if seen.headers["x-call-id"].startswith("hold"):
@@ -380,16 +380,16 @@
                 for place, caller in enumerate(callers):
                     caller.send("canje", f"{number:015x}{place}")
                 assert [(await caller.answer()).code for caller in callers] == [200] * 4
-            before = [backend.count for backend in backends.values()]
+            before = [backend.call_count for backend in backends.values()]
             assert (await callers[0].call("canje", "dead" + "0" * 12)).code == 502
-            struck = next(b for b, count in zip(backends.values(), before, strict=True) if b.count > count)
-            count = struck.count
+            struck = next(b for b, count in zip(backends.values(), before, strict=True) if b.call_count > count)
+            count = struck.call_count
             for number, caller in enumerate(callers):
                 caller.send("canje", f"hold{number:012x}", budget="5000m")
-            async with asyncio.timeout(PATIENCE):
-                while sum(backend.count for backend in backends.values()) < sum(before) + 5:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while sum(backend.call_count for backend in backends.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
-            assert struck.count > count
+            assert struck.call_count > count
             release.set()
             assert [(await caller.answer()).code for caller in callers] == [200] * 4
 
@@ -402,7 +402,7 @@
     async def test() -> None:
         turned_away = 0
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             nonlocal turned_away
             if seen.target.startswith("/canje"):
                 turned_away += 1
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from netkit import GRADES, PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
+from netkit import GRADES, TEST_TIMEOUT_S, Backend, Caller, Proxy, ReceivedRequest, next_call, proxy, run, serve_ok
 
 from granitepoint.interface import Effect
 from granitepoint.net.logs import MAX_LINES_PER_EVENT, RateLimitFilter
@@ -26,7 +26,7 @@
     code = 0
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         code = (await caller.answer()).code
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         with contextlib.suppress(ConnectionError):
             assert await caller.reader.read() == b""
     return code
@@ -114,7 +114,7 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
             await serve_ok(seen, writer)
 
@@ -124,7 +124,7 @@
             old, silent = await node.caller(), await node.caller()
             old.send("canje", "a" * 16, budget="6000m")
             await next_call(backend)
-            assert await silent.ended()  # the bound has passed
+            assert await silent.closed_by_proxy()  # the bound has passed
             free.set()
             assert (await old.answer()).code == 200
             assert (await old.call("canje", "b" * 16)).code == 200
@@ -150,7 +150,7 @@
             else:
                 raise AssertionError("nobody was served")
             assert most <= 256 * 0.6  # the upstreams' two fifths are free
-            ends = [Caller(*pair).ended() for pair in opened]
+            ends = [Caller(*pair).closed_by_proxy() for pair in opened]
             async with asyncio.timeout(3.0):
                 assert all(await asyncio.gather(*ends))
             assert node.process.returncode is None
@@ -201,7 +201,7 @@
             caller.writer.write(b"POST /canje" + HEAD + rest)
             assert await told(caller) == 400
             await serves_on(node)
-        assert backend.count == 1  # the last one
+        assert backend.call_count == 1  # the last one
 
     run(test())
 
@@ -255,14 +255,14 @@
         backend = Backend()
         async with proxy({"s-1": backend}) as node:
             assert (await (await node.caller()).raw(b"GET /stock" + HEAD + spoil + b"\r\n")).code == 400
-        assert backend.count == 0
+        assert backend.call_count == 0
 
     run(test())
 
 
 def test_no_call_is_held_beyond_the_deadline_of_its_class() -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             return
 
         backend = Backend(behave)
@@ -294,7 +294,7 @@
         connection: ClientConnection = next(iter(server.connections))
         assert connection.parser is not None and connection in server.idle
         caller.writer.close()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while server.connections:
                 await asyncio.sleep(0)
         assert connection.parser is None
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 
 import pytest
 from netkit import (
-    PATIENCE,
+    TEST_TIMEOUT_S,
     Backend,
     Discovery,
     endpoint,
@@ -78,7 +78,7 @@
         at = server.sockets[0].getsockname()[:2]
         client = net.Discovery(at, 1, self.lists.put_nowait, self._failed, Random(1), pushed)
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 yield client
         finally:
             client.stop()
@@ -157,7 +157,7 @@
             client.watch(True)
             silent = await peer.next("/v1/servers?from=1&")
             second = await peer.next("/v1/servers?from=1&")
-            silent_after(monkeypatch, PATIENCE)
+            silent_after(monkeypatch, TEST_TIMEOUT_S)
             second.answer(2)
             await peer.next("/v1/servers?from=2&")
             silent.writer.transport.abort()
@@ -184,7 +184,7 @@
             silent = await peer.next("/v1/servers?from=1&hold_ms=")
             second = await peer.next("/v1/servers?from=1&hold_ms=")
             assert second.connection != silent.connection
-            silent_after(monkeypatch, PATIENCE)
+            silent_after(monkeypatch, TEST_TIMEOUT_S)
             second.answer(2, endpoint("s-1", HERE, "Terminating"))
             assert states(await peer.lists.get()) == ["draining"]
             await peer.next("/v1/servers?from=")
@@ -221,7 +221,7 @@
         async with peer.client() as client:
             client.watch(True)
             first = await peer.next("/v1/servers?from=1&")
-            silent_after(monkeypatch, PATIENCE)
+            silent_after(monkeypatch, TEST_TIMEOUT_S)
             (await peer.next("/v1/servers?from=1&")).fail()
             (await peer.next("/v1/servers?from=1&")).fail()
             (await peer.next("/v1/servers?from=1&")).answer(2)
@@ -248,7 +248,7 @@
             silent = await peer.next(FIRST)
             second = await peer.next(FIRST)
             assert silent.connection != second.connection
-            monkeypatch.setattr(net, "MOVE_AGAIN", PATIENCE)
+            monkeypatch.setattr(net, "MOVE_AGAIN", TEST_TIMEOUT_S)
             second.answer(9, endpoint("s-1", HERE), snapshot=True)
             while (await peer.asks.get()).target == FIRST:
                 pass  # a third may have gone out meanwhile
@@ -322,13 +322,13 @@
         discovery = await Discovery().start()
         one, two = Backend(), await Backend().start()
         async with proxy({"s-1": one}, discovery, discovery="push") as node:
-            async with asyncio.timeout(PATIENCE):
-                await discovery.until_asked(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
-                discovery.put(2, endpoint("s-1", one.address, "Terminating"), endpoint("s-2", two.address))
-                await discovery.until_asked("/v1/servers?from=2&")
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await discovery.wait_for_request(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
+                discovery.publish(2, endpoint("s-1", one.address, "Terminating"), endpoint("s-2", two.address))
+                await discovery.wait_for_request("/v1/servers?from=2&")
             assert (await (await node.caller()).call("canje", "1" * 16)).code == 200
             await next_call(two)
-            assert one.count == 0
+            assert one.call_count == 0
         await two.stop()
 
     run(test())
@@ -355,7 +355,7 @@
 ) -> None:
     """After SIGHUP there are 4 s: a call that is given up and made anew waits its turn from the start. The
     module's first watch comes at a random time within 2 s of the start, so also while that call is out."""
-    monkeypatch.setattr(net, "MOVE_AGAIN", PATIENCE)
+    monkeypatch.setattr(net, "MOVE_AGAIN", TEST_TIMEOUT_S)
 
     async def test() -> None:
         peer = OnCommand()
@@ -488,7 +488,7 @@
             if way == "renewing":  # the watch before is still open
                 one._asks[asyncio.ensure_future(one.failed.wait())] = Channel()
             waits[one._watch] = one
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for one in many:
                 await one.failed.wait()
         for one in many:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,7 @@
-"""The instants in which something is still owed while something else ends, each forced by the test's peer."""
+"""Races between a request or an answer and the end of a connection, a timeout or the shutdown.
+
+Each test forces one order of events, with the proxy's code running in the process of the test.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,12 @@
 
 import pytest
 from netkit import (
-    PATIENCE,
     SETTINGS,
+    TEST_TIMEOUT_S,
     Backend,
     Behaviour,
     Caller,
-    Seen,
+    ReceivedRequest,
     endpoint,
     listing,
     next_call,
@@ -36,33 +39,33 @@
 from granitepoint.net.listing import read_listing
 from granitepoint.net.server import KEEP_ALIVE_TIMEOUT_S, REQUEST_READ_TIMEOUT_S, Request, Server
 
-STOCK = b"GET /stock HTTP/1.1\r\nX-Call-Id: %016d\r\nX-Budget: 9000m\r\n\r\n"
+STOCK_REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: %016d\r\nX-Budget: 9000m\r\n\r\n"
 
 
-class Held:
-    """A handler that holds each request until the test answers it."""
+class HoldingHandler:
+    """A handler that leaves each request open until the test answers it."""
 
     def __init__(self) -> None:
-        self.taken: asyncio.Queue[tuple[Request, Any]] = asyncio.Queue()
-        self.gone: asyncio.Queue[Request] = asyncio.Queue()
+        self.requests: asyncio.Queue[tuple[Request, Any]] = asyncio.Queue()
+        self.disconnected: asyncio.Queue[Request] = asyncio.Queue()
 
     def on_request(self, request: Request, reply: Any) -> Request:
-        self.taken.put_nowait((request, reply))
+        self.requests.put_nowait((request, reply))
         return request
 
     def on_disconnect(self, call: Request) -> None:
-        self.gone.put_nowait(call)
+        self.disconnected.put_nowait(call)
 
     def ready(self) -> bool:
         return True
 
 
 @contextlib.asynccontextmanager
-async def callers_side(handler: Held, sockets: int = 256) -> AsyncIterator[tuple[Server, int]]:
+async def running_server(handler: HoldingHandler, sockets: int = 256) -> AsyncIterator[tuple[Server, int]]:
     server = Server({"stock": Effect.REPEATABLE}, handler, sockets, 64)
     port = await server.listen("127.0.0.1", 0)
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             yield server, port
     finally:
         server.stop_listening()
@@ -79,84 +82,86 @@
     caller.close()
 
 
-BEHIND = {
+FOLLOWING_DATA = {
     "nothing": b"",
-    "a request": STOCK % 2,
-    "half a request": (STOCK % 2)[:30],
-    "much": b"".join(STOCK % number for number in range(2, 3000)),
+    "a request": STOCK_REQUEST % 2,
+    "half a request": (STOCK_REQUEST % 2)[:30],
+    "much": b"".join(STOCK_REQUEST % number for number in range(2, 3000)),
 }
 
 
 @pytest.mark.parametrize("end", [close, reset])
-@pytest.mark.parametrize("behind", BEHIND.values(), ids=BEHIND)
-def test_a_caller_that_leaves_is_seen_whatever_it_sent_behind_its_request(
+@pytest.mark.parametrize("behind", FOLLOWING_DATA.values(), ids=FOLLOWING_DATA)
+def test_a_disconnect_is_noticed_whatever_was_sent_behind_the_request(
     behind: bytes, end: Callable[[socket.socket], None]
 ) -> None:
-    """Reading stops while a further request waits, and the end lies behind what is unread."""
+    """Reading pauses while pipelined requests wait, so the end of the connection is behind unread bytes."""
 
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
             with socket.create_connection(("127.0.0.1", port)) as caller:
-                caller.sendall(STOCK % 1 + behind)
-                request, _ = await handler.taken.get()
-                assert handler.gone.empty()
+                caller.sendall(STOCK_REQUEST % 1 + behind)
+                request, _ = await handler.requests.get()
+                assert handler.disconnected.empty()
                 end(caller)
-            assert await handler.gone.get() is request
+            assert await handler.disconnected.get() is request
             while server.connections:
                 await asyncio.sleep(0)
-            assert handler.taken.empty() and not server.paused_connections
+            assert handler.requests.empty() and not server.paused_connections
 
     run(test())
 
 
-class Node:
-    """The proxy's two sides and its module in this process, so that a test holds what lies between them."""
+class InProcessProxy:
+    """The driver, the server and a backend in this process: a test controls the events between them."""
 
     def __init__(self, driver: Driver, server: Server, port: int, backend: Backend) -> None:
         self.driver, self.server, self.port, self.backend = driver, server, port, backend
         self.version = 1
-        self.background: set[asyncio.Future[None]] = set()  # of the test's own, ended with the node
+        self.background: set[asyncio.Future[None]] = set()  # tasks of the test, cancelled with the proxy
 
     async def caller(self) -> Caller:
         return Caller(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    def lists(self, status: str) -> None:
-        """Discovery tells that the backend is in this state."""
+    def set_backend_status(self, status: str) -> None:
+        """Delivers a list in which the backend has this state."""
         self.version += 1
-        told = read_listing(listing(self.version, endpoint("s-1", self.backend.address, status)))
-        self.driver._on_list(told)
+        changes = read_listing(listing(self.version, endpoint("s-1", self.backend.address, status)))
+        self.driver._on_list(changes)
 
-    async def served(self, id: str) -> None:
+    async def expect_served(self, id: str) -> None:
         assert (await (await self.caller()).call("stock", id)).code == 200
 
-    async def left(self) -> None:
-        """The open calls are over because their callers were seen to leave, not because time ran out."""
-        await self.until(lambda: not self.driver.calls)
+    async def wait_until_disconnected(self) -> None:
+        """Waits until no call is open; checks that all ended by a disconnect, none by a timeout."""
+        await self.wait_until(lambda: not self.driver.calls)
         assert not [name for name in self.driver.counts if name.startswith("answer")]
 
-    async def until(self, done: Callable[[], bool]) -> None:
+    async def wait_until(self, done: Callable[[], bool]) -> None:
         while not done():
             await asyncio.sleep(0)
 
 
 @contextlib.asynccontextmanager
-async def node(behave: Behaviour = serve_ok, status: str = "Ready", **changes: Any) -> AsyncIterator[Node]:
+async def in_process_proxy(
+    behave: Behaviour = serve_ok, status: str = "Ready", **changes: Any
+) -> AsyncIterator[InProcessProxy]:
     backend = await Backend(behave).start()
     known = listing(1, endpoint("s-1", backend.address, status))
     settings = read_settings(flatten_settings({**SETTINGS, **changes}))
     nowhere = ("127.0.0.1", 9)
     driver = Driver(Config("n0", nowhere, nowhere, 1, 256, 64.0, known, settings))
-    driver.balancer.list_lease.confirmed = True  # there is no discovery here; lists come from the test
+    driver.balancer.list_lease.confirmed = True  # there is no discovery; the test delivers the lists
     server = Server(driver.effects, driver, 256, 64)
     driver.start()
     port = await server.listen("127.0.0.1", 0)
-    here = Node(driver, server, port, backend)
+    proxy = InProcessProxy(driver, server, port, backend)
     try:
-        async with asyncio.timeout(PATIENCE):
-            yield here
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            yield proxy
     finally:
-        for task in here.background:
+        for task in proxy.background:
             task.cancel()
         server.stop_listening()
         driver.stop()
@@ -165,37 +170,39 @@
         await backend.stop()
 
 
-def rejected(seen: Seen, writer: asyncio.StreamWriter) -> None:
+def rejected(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, X_Rejected="1"))
 
 
-FIRST, SECOND = "f" * 16, "e" * 16
+FIRST_ID, SECOND_ID = "f" * 16, "e" * 16
 
 
-@pytest.mark.parametrize("behind", [b"", STOCK % 2], ids=["alone", "with bytes behind it"])
-def test_a_request_whose_caller_left_while_it_was_queued_is_not_sent_on(behind: bytes) -> None:
+@pytest.mark.parametrize("behind", [b"", STOCK_REQUEST % 2], ids=["alone", "with bytes behind it"])
+def test_a_queued_request_is_not_sent_after_its_caller_disconnects(behind: bytes) -> None:
     async def test() -> None:
-        async with node(status="Terminating") as here:
-            caller = await here.caller()
-            caller.send("canje", FIRST, budget="6000m")
+        async with in_process_proxy(status="Terminating") as proxy:
+            caller = await proxy.caller()
+            caller.send("canje", FIRST_ID, budget="6000m")
             caller.writer.write(behind)
-            await here.until(lambda: bool(here.driver.balancer.queue))
+            await proxy.wait_until(lambda: bool(proxy.driver.balancer.queue))
             caller.writer.close()
-            await here.left()
-            here.lists("Ready")
-            await here.served(SECOND)
-            assert (await next_call(here.backend)).headers["x-call-id"] == SECOND
-            assert here.backend.count == 1 and not here.driver.ids
+            await proxy.wait_until_disconnected()
+            proxy.set_backend_status("Ready")
+            await proxy.expect_served(SECOND_ID)
+            assert (await next_call(proxy.backend)).headers["x-call-id"] == SECOND_ID
+            assert proxy.backend.call_count == 1 and not proxy.driver.ids
 
     run(test())
 
 
-@pytest.mark.parametrize("behind", [b"", STOCK % 2], ids=["alone", "with bytes behind it"])
-def test_a_request_whose_caller_left_while_it_connected_is_not_sent_on(
+@pytest.mark.parametrize("behind", [b"", STOCK_REQUEST % 2], ids=["alone", "with bytes behind it"])
+def test_a_request_is_not_sent_if_its_caller_disconnects_during_the_connect(
     behind: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with node(policy_limits={**SETTINGS["policy_limits"], "connect_timeout": PATIENCE}) as here:
+        async with in_process_proxy(
+            policy_limits={**SETTINGS["policy_limits"], "connect_timeout": TEST_TIMEOUT_S}
+        ) as proxy:
             loop = asyncio.get_running_loop()
             connect, asked, up = loop.create_connection, asyncio.Event(), asyncio.Event()
 
@@ -204,42 +211,44 @@
                 await up.wait()
                 return await connect(*args)
 
-            caller = await here.caller()
-            other = await here.caller()
-            monkeypatch.setattr(here.driver.upstreams.loop, "create_connection", slow)
-            caller.send("canje", FIRST, budget="6000m")
+            caller = await proxy.caller()
+            other = await proxy.caller()
+            monkeypatch.setattr(proxy.driver.upstreams.loop, "create_connection", slow)
+            caller.send("canje", FIRST_ID, budget="6000m")
             caller.writer.write(behind)
             await asked.wait()
             caller.writer.close()
-            await here.left()
+            await proxy.wait_until_disconnected()
             up.set()
-            assert (await other.call("stock", SECOND)).code == 200
-            assert (await next_call(here.backend)).headers["x-call-id"] == SECOND
-            assert here.backend.count == 1 and not here.driver.ids
+            assert (await other.call("stock", SECOND_ID)).code == 200
+            assert (await next_call(proxy.backend)).headers["x-call-id"] == SECOND_ID
+            assert proxy.backend.call_count == 1 and not proxy.driver.ids
 
     run(test())
 
 
-def test_the_time_that_an_attempt_tells_is_what_is_left_after_a_slow_connect(
+def test_the_budget_sent_with_an_attempt_excludes_a_slow_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with node(policy_limits={**SETTINGS["policy_limits"], "connect_timeout": PATIENCE}) as here:
-            connect, up = here.driver.loop.create_connection, asyncio.Event()
+        async with in_process_proxy(
+            policy_limits={**SETTINGS["policy_limits"], "connect_timeout": TEST_TIMEOUT_S}
+        ) as proxy:
+            connect, up = proxy.driver.loop.create_connection, asyncio.Event()
 
             async def slow(*args: Any) -> Any:
                 await up.wait()
                 return await connect(*args)
 
-            caller = await here.caller()
-            here.driver.balancer.health.confirm()  # so that it waits for no health check, slow too
-            monkeypatch.setattr(here.driver.upstreams.loop, "create_connection", slow)
-            caller.send("canje", FIRST, budget="6000m")
-            await here.until(lambda: bool(here.driver.out))
-            (exchange,) = here.driver.out.values()
-            exchange.ends_at -= 4.0  # as if the connect had taken so long
+            caller = await proxy.caller()
+            proxy.driver.balancer.health.confirm()  # so that no slow health check is waited for
+            monkeypatch.setattr(proxy.driver.upstreams.loop, "create_connection", slow)
+            caller.send("canje", FIRST_ID, budget="6000m")
+            await proxy.wait_until(lambda: bool(proxy.driver.out))
+            (exchange,) = proxy.driver.out.values()
+            exchange.ends_at -= 4.0  # as if the connect had taken 4 s
             up.set()
-            told = (await next_call(here.backend)).headers["x-budget"]
+            told = (await next_call(proxy.backend)).headers["x-budget"]
             assert 0 < int(told[:-1]) <= 2_000_000
             assert (await caller.answer()).code == 200
 
@@ -247,37 +256,40 @@
 
 
 @pytest.mark.parametrize("moment", ["before its first byte", "before its last byte"])
-def test_a_further_attempt_does_not_go_out_once_the_window_for_repeats_is_over(
+def test_no_further_attempt_is_sent_after_the_deduplication_window(
     moment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was decided within the window; its connect, or the wait before its last byte, takes too long."""
+    """The attempt is decided within the window, but its connect or its last-byte check ends after it.
+
+    Servers drop repeats only within the window, so a later attempt could run the call twice.
+    """
 
     async def test() -> None:
         connect_held = asyncio.Event()
-        limits = {**SETTINGS["policy_limits"], "connect_timeout": PATIENCE, "send_cap": 2}
+        limits = {**SETTINGS["policy_limits"], "connect_timeout": TEST_TIMEOUT_S, "send_cap": 2}
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(response(500, Connection="close"))  # it may have run
 
-        async with node(behave, policy_limits=limits) as here:
-            connect = here.driver.loop.create_connection
+        async with in_process_proxy(behave, policy_limits=limits) as proxy:
+            connect = proxy.driver.loop.create_connection
 
             async def held(*args: Any) -> Any:
                 await connect_held.wait()
                 return await connect(*args)
 
-            caller = await here.caller()
-            caller.send("reserva", FIRST, budget="4000m")
-            await next_call(here.backend)
-            monkeypatch.setattr(here.driver.loop, "create_connection", held)
-            await here.until(lambda: any(call.ran for call in here.driver.calls.values()))
-            await here.until(lambda: bool(here.driver.out))
-            (exchange,) = here.driver.out.values()
-            assert exchange.send_by < exchange.started_at + 6.0  # the window of the class
+            caller = await proxy.caller()
+            caller.send("reserva", FIRST_ID, budget="4000m")
+            await next_call(proxy.backend)
+            monkeypatch.setattr(proxy.driver.loop, "create_connection", held)
+            await proxy.wait_until(lambda: any(call.ran for call in proxy.driver.calls.values()))
+            await proxy.wait_until(lambda: bool(proxy.driver.out))
+            (exchange,) = proxy.driver.out.values()
+            assert exchange.send_by < exchange.started_at + 6.0  # the deduplication window of the class
             if moment == "before its last byte":
-                monkeypatch.setattr(up, "PROVE", PATIENCE)
+                monkeypatch.setattr(up, "PROVE", TEST_TIMEOUT_S)
                 connect_held.set()
-                await here.until(lambda: exchange.connection is not None)
+                await proxy.wait_until(lambda: exchange.connection is not None)
                 exchange.send_by = 0.0
                 assert exchange.connection is not None
                 exchange.connection._finish(exchange)
@@ -285,326 +297,328 @@
                 exchange.send_by = 0.0
                 connect_held.set()
             assert (await caller.answer()).code in (502, 504)
-            assert exchange.status is Status.MOOT and not exchange.sent and here.backend.count == 1
+            assert exchange.status is Status.MOOT and not exchange.sent and proxy.backend.call_count == 1
 
     run(test())
 
 
-@pytest.mark.parametrize("behind", [b"", STOCK % 2], ids=["alone", "with bytes behind it"])
-def test_a_request_whose_caller_left_between_attempts_is_not_sent_again(behind: bytes) -> None:
+@pytest.mark.parametrize("behind", [b"", STOCK_REQUEST % 2], ids=["alone", "with bytes behind it"])
+def test_a_request_is_not_retried_after_its_caller_disconnects(behind: bytes) -> None:
     async def test() -> None:
         turn_away = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            if seen.headers["x-call-id"] == FIRST:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if seen.headers["x-call-id"] == FIRST_ID:
                 await turn_away.wait()
                 rejected(seen, writer)
             else:
                 await serve_ok(seen, writer)
 
-        async with node(behave) as here:
-            caller = await here.caller()
-            caller.send("canje", FIRST, budget="6000m")
+        async with in_process_proxy(behave) as proxy:
+            caller = await proxy.caller()
+            caller.send("canje", FIRST_ID, budget="6000m")
             caller.writer.write(behind)
-            assert (await next_call(here.backend)).headers["x-call-id"] == FIRST
-            here.lists("Terminating")  # so the next attempt has to wait
+            assert (await next_call(proxy.backend)).headers["x-call-id"] == FIRST_ID
+            proxy.set_backend_status("Terminating")  # the next attempt has to wait in the queue
             turn_away.set()
-            await here.until(lambda: bool(here.driver.balancer.queue))
+            await proxy.wait_until(lambda: bool(proxy.driver.balancer.queue))
             caller.writer.close()
-            await here.left()
-            here.lists("Ready")
-            await here.served(SECOND)
-            assert (await next_call(here.backend)).headers["x-call-id"] == SECOND
-            assert here.backend.count == 2 and not here.driver.ids
+            await proxy.wait_until_disconnected()
+            proxy.set_backend_status("Ready")
+            await proxy.expect_served(SECOND_ID)
+            assert (await next_call(proxy.backend)).headers["x-call-id"] == SECOND_ID
+            assert proxy.backend.call_count == 2 and not proxy.driver.ids
 
     run(test())
 
 
-async def on_a_new_connection(here: Node) -> int:
+async def on_a_new_connection(proxy: InProcessProxy) -> int:
     return 1
 
 
-async def on_a_kept_connection(here: Node) -> int:
-    await here.served("a" * 16)
-    here.driver.counts.clear()
+async def on_a_kept_connection(proxy: InProcessProxy) -> int:
+    await proxy.expect_served("a" * 16)
+    proxy.driver.counts.clear()
     return 1
 
 
-async def again(here: Node) -> int:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-        here.backend.behave = serve_ok
-        here.lists("Terminating")  # so the next attempt has to wait
+async def on_a_retry(proxy: InProcessProxy) -> int:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        proxy.backend.behave = serve_ok
+        proxy.set_backend_status("Terminating")  # the next attempt has to wait in the queue
         rejected(seen, writer)
 
     async def resume() -> None:
-        await here.until(lambda: here.backend.behave is serve_ok and bool(here.driver.balancer.queue))
-        here.lists("Ready")
+        await proxy.wait_until(lambda: proxy.backend.behave is serve_ok and bool(proxy.driver.balancer.queue))
+        proxy.set_backend_status("Ready")
 
-    here.backend.behave = behave
-    here.background.add(asyncio.ensure_future(resume()))
+    proxy.backend.behave = behave
+    proxy.background.add(asyncio.ensure_future(resume()))
     return 2
 
 
 @pytest.mark.parametrize("end", [close, reset])
-@pytest.mark.parametrize("behind", [b"", STOCK % 2], ids=["alone", "with bytes behind it"])
-@pytest.mark.parametrize("attempt", [on_a_new_connection, on_a_kept_connection, again])
-def test_no_attempt_begins_for_a_caller_whose_leaving_lies_unread(
-    attempt: Callable[[Node], Awaitable[int]],
+@pytest.mark.parametrize("behind", [b"", STOCK_REQUEST % 2], ids=["alone", "with bytes behind it"])
+@pytest.mark.parametrize("attempt", [on_a_new_connection, on_a_kept_connection, on_a_retry])
+def test_no_attempt_starts_for_a_caller_whose_disconnect_is_unread(
+    attempt: Callable[[InProcessProxy], Awaitable[int]],
     behind: bytes,
     end: Callable[[socket.socket], None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It leaves right before the first byte would go out, and the loop has not looked at its socket since."""
+    """The caller disconnects right before the first byte is sent; the event loop has not read that yet."""
 
     async def test() -> None:
-        async with node() as here:
-            last = await attempt(here)
-            caller = socket.create_connection(("127.0.0.1", here.port))
-            started, begun = 0, []
+        async with in_process_proxy() as proxy:
+            last = await attempt(proxy)
+            caller = socket.create_connection(("127.0.0.1", proxy.port))
+            started, written_requests = 0, []
             run_on, begin = up.Exchange.run_on, up.Connection.begin
 
             def leave_first(exchange: up.Exchange, connection: up.Connection) -> None:
                 nonlocal started
-                if FIRST.encode() in exchange.request(1.0):
+                if FIRST_ID.encode() in exchange.request(1.0):
                     started += 1
                     if started == last:
                         end(caller)
                 run_on(exchange, connection)
 
             def note(connection: up.Connection, exchange: up.Exchange) -> None:
-                begun.append(exchange.request(1.0))
+                written_requests.append(exchange.request(1.0))
                 begin(connection, exchange)
 
             monkeypatch.setattr(up.Exchange, "run_on", leave_first)
             monkeypatch.setattr(up.Connection, "begin", note)
-            head = b"POST /canje HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget: 6000m\r\n" % FIRST.encode()
+            head = b"POST /canje HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget: 6000m\r\n" % FIRST_ID.encode()
             caller.sendall(head + b"Content-Length: 0\r\n\r\n" + behind)
-            await here.until(lambda: started == last)
-            await here.left()
-            await here.served(SECOND)
-            assert sum(FIRST.encode() in request for request in begun) == last - 1
-            assert not here.driver.ids and not here.driver.out
+            await proxy.wait_until(lambda: started == last)
+            await proxy.wait_until_disconnected()
+            await proxy.expect_served(SECOND_ID)
+            assert sum(FIRST_ID.encode() in request for request in written_requests) == last - 1
+            assert not proxy.driver.ids and not proxy.driver.out
 
     run(test())
 
 
-def test_the_time_of_requests_that_come_at_once_runs_for_all_of_them() -> None:
-    """One that is read when the one before is answered seems to have come then: its answer would be late."""
+def test_the_budgets_of_pipelined_requests_run_from_their_arrival() -> None:
+    """Pipelined requests are read at once: one read after the previous answer would get a later deadline."""
 
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
             with socket.create_connection(("127.0.0.1", port)) as caller:
-                caller.sendall(STOCK % 1)
-                _, reply = await handler.taken.get()
+                caller.sendall(STOCK_REQUEST % 1)
+                _, reply = await handler.requests.get()
                 (connection,) = server.connections
                 for behind in (2, 3):
-                    caller.sendall(STOCK % behind)
+                    caller.sendall(STOCK_REQUEST % behind)
                     while len(connection.pending_requests) < behind - 1:
                         await asyncio.sleep(0)
                 answered = time.monotonic()
                 for _ in range(2):
                     reply.answer(200, (), b"")
-                    request, reply = await handler.taken.get()
+                    request, reply = await handler.requests.get()
                     assert request.received_at < answered
 
     run(test())
 
 
-async def asked_while_the_loop_looks_away(server: Server, port: int, handler: Held) -> socket.socket:
-    """A caller that was answered; its next request lies in the socket, and the loop has not run since."""
+async def connection_with_unread_request(server: Server, port: int, handler: HoldingHandler) -> socket.socket:
+    """Returns an answered caller whose next request is in the socket, unread by the event loop."""
     caller = socket.create_connection(("127.0.0.1", port))
-    caller.sendall(STOCK % 1)
-    _, reply = await handler.taken.get()
+    caller.sendall(STOCK_REQUEST % 1)
+    _, reply = await handler.requests.get()
     reply.answer(200, (), b"")
     assert server.idle
-    caller.sendall(STOCK % 2)
+    caller.sendall(STOCK_REQUEST % 2)
     return caller
 
 
-def end_idle(server: Server) -> None:
+def close_idle(server: Server) -> None:
     server.close_idle()
 
 
-def end_kept_for_long(server: Server) -> None:
+def expire_keep_alive(server: Server) -> None:
     for connection in server.idle:
         connection.table_since -= KEEP_ALIVE_TIMEOUT_S
     server._sweep()
 
 
-def make_room(server: Server) -> None:
+def evict_connection(server: Server) -> None:
     for connection in server.idle:
         connection.table_since -= KEEP_ALIVE_TIMEOUT_S
     assert not server._evict_connection()
 
 
-@pytest.mark.parametrize("end", [end_idle, end_kept_for_long, make_room])
-def test_a_close_that_crosses_a_request_leaves_the_connection(end: Callable[[Server], None]) -> None:
-    """The request came before the close: closing on it would lose it, or make the caller send it anew."""
+@pytest.mark.parametrize("end", [close_idle, expire_keep_alive, evict_connection])
+def test_a_connection_with_an_unread_request_is_not_closed(end: Callable[[Server], None]) -> None:
+    """The request arrived before the close: closing would lose it or make the caller resend it."""
 
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
-            with await asked_while_the_loop_looks_away(server, port, handler):
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
+            with await connection_with_unread_request(server, port, handler):
                 end(server)
-                request, _ = await handler.taken.get()
+                request, _ = await handler.requests.get()
                 assert request.id == b"%016d" % 2
 
     run(test())
 
 
-def test_a_request_that_crosses_the_end_of_the_wind_down_is_refused() -> None:
-    """It lies in the socket when nothing more is served; a close that answers nothing would lose it."""
+def test_a_request_unread_at_the_end_of_the_shutdown_is_refused() -> None:
+    """It is unread when the proxy stops serving; a close without an answer would lose it."""
 
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
-            with await asked_while_the_loop_looks_away(server, port, handler) as caller:
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
+            with await connection_with_unread_request(server, port, handler) as caller:
                 server.draining = True
                 server.reject_partial_requests()
                 other = Caller(*await asyncio.open_connection(sock=caller.dup()))
-                assert (await other.answer()).code == 200  # the one before
+                assert (await other.answer()).code == 200  # to the first request
                 answer = await other.answer()
                 assert (answer.code, answer.headers["connection"]) == (503, "close")
-                assert await other.ended() and handler.taken.empty()
+                assert await other.closed_by_proxy() and handler.requests.empty()
 
     run(test())
 
 
-def test_a_first_request_that_comes_as_its_time_ends_is_taken() -> None:
+def test_a_first_request_that_arrives_at_the_read_timeout_is_accepted() -> None:
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
             with socket.create_connection(("127.0.0.1", port)) as caller:
                 while not server.awaiting_request:
                     await asyncio.sleep(0)
                 for connection in server.awaiting_request:
                     connection.table_since -= REQUEST_READ_TIMEOUT_S
-                caller.sendall(STOCK % 1)
+                caller.sendall(STOCK_REQUEST % 1)
                 server._sweep()
-                assert (await handler.taken.get())[0].id == b"%016d" % 1
+                assert (await handler.requests.get())[0].id == b"%016d" % 1
 
     run(test())
 
 
-def test_the_last_answer_arrives_though_bytes_lie_unread_behind_its_request() -> None:
-    """A close on unread bytes is a reset, and takes along what of the answer has not left yet."""
+def test_the_last_answer_arrives_though_bytes_are_unread_behind_its_request() -> None:
+    """Closing a socket with unread bytes resets the connection, which loses the unsent part of the answer."""
 
     async def test() -> None:
-        handler = Held()
+        handler = HoldingHandler()
         loop = asyncio.get_running_loop()
-        async with callers_side(handler) as (_, port):
+        async with running_server(handler) as (_, port):
             with socket.socket() as caller:
                 caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 caller.connect(("127.0.0.1", port))
                 caller.setblocking(False)
-                caller.send((STOCK % 1).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-                _, reply = await handler.taken.get()
+                caller.send((STOCK_REQUEST % 1).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+                _, reply = await handler.requests.get()
                 caller.send(b"more")
                 body = bytes(60_000)
                 reply.answer(200, (), body)
-                come = b""
+                received = b""
                 while part := await loop.sock_recv(caller, 1 << 16):
-                    come += part
-                assert come.endswith(b"\r\n\r\n" + body)
+                    received += part
+                assert received.endswith(b"\r\n\r\n" + body)
 
     run(test())
 
 
-def test_a_last_answer_that_is_on_its_way_is_not_cut_off_to_make_room() -> None:
-    """One that asks nothing makes room first."""
+def test_a_connection_sending_its_last_answer_is_not_evicted_first() -> None:
+    """A connection without a request is evicted before one that is still sending its last answer."""
 
     async def test() -> None:
-        handler = Held()
+        handler = HoldingHandler()
         loop = asyncio.get_running_loop()
-        async with callers_side(handler) as (server, port):
+        async with running_server(handler) as (server, port):
             with socket.socket() as caller:
                 caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 caller.connect(("127.0.0.1", port))
                 caller.setblocking(False)
-                caller.send((STOCK % 1).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-                _, reply = await handler.taken.get()
+                caller.send((STOCK_REQUEST % 1).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+                _, reply = await handler.requests.get()
                 silent = Caller(*await asyncio.open_connection("127.0.0.1", port))
                 while not server.awaiting_request:
                     await asyncio.sleep(0)
                 for connection in server.awaiting_request:
                     connection.table_since -= REQUEST_READ_TIMEOUT_S
-                body = bytes(8 << 20)  # more than the system holds for a connection
+                body = bytes(8 << 20)  # more than the socket buffers hold
                 reply.answer(200, (), body)
                 assert server.closing and server._evict_connection() and not server.awaiting_request
-                assert await silent.ended()
-                come = 0
+                assert await silent.closed_by_proxy()
+                received = 0
                 while part := await loop.sock_recv(caller, 1 << 20):
-                    come += len(part)
-                assert come > len(body)
+                    received += len(part)
+                assert received > len(body)
 
     run(test())
 
 
-@pytest.mark.parametrize("looked", [True, False], ids=["read", "unread"])
-def test_a_request_that_came_behind_another_is_answered_in_the_wind_down(looked: bool) -> None:
-    """It has been taken: the close that comes with the first answer would lose it."""
+@pytest.mark.parametrize("already_read", [True, False], ids=["read", "unread"])
+def test_a_pipelined_request_is_answered_during_the_shutdown(already_read: bool) -> None:
+    """It has arrived: closing the connection with the first answer would lose it."""
 
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
             caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
-            caller.writer.write(STOCK % 1)
-            _, reply = await handler.taken.get()
+            caller.writer.write(STOCK_REQUEST % 1)
+            _, reply = await handler.requests.get()
             server.draining = True
-            caller.writer.write(STOCK % 2)
-            while looked and not any(connection.pending_requests for connection in server.connections):
+            caller.writer.write(STOCK_REQUEST % 2)
+            while already_read and not any(connection.pending_requests for connection in server.connections):
                 await asyncio.sleep(0)
             reply.answer(200, (), b"first")
             assert (await caller.answer()).body == b"first"
-            request, reply = await handler.taken.get()
+            request, reply = await handler.requests.get()
             assert request.id == b"%016d" % 2
             reply.answer(200, (), b"second")
             answer = await caller.answer()
             assert (answer.body, answer.headers["connection"]) == (b"second", "close")
-            assert await caller.ended()
+            assert await caller.closed_by_proxy()
 
     run(test())
 
 
-@pytest.mark.parametrize("whole", [True, False], ids=["comes whole", "does not"])
-def test_half_a_request_that_came_with_the_one_before_is_seen_in_the_wind_down(whole: bool) -> None:
+@pytest.mark.parametrize("completed", [True, False], ids=["comes whole", "does not"])
+def test_a_partial_request_received_with_the_previous_one_is_noticed_during_the_shutdown(
+    completed: bool,
+) -> None:
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
             caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
-            cut = len(STOCK % 1) + 40
-            caller.writer.write((STOCK % 1 + STOCK % 2)[:cut])  # in one piece
-            _, reply = await handler.taken.get()
+            cut = len(STOCK_REQUEST % 1) + 40
+            caller.writer.write((STOCK_REQUEST % 1 + STOCK_REQUEST % 2)[:cut])  # in one write
+            _, reply = await handler.requests.get()
             server.draining = True
             reply.answer(200, (), b"first")
             assert (await caller.answer()).body == b"first"
             server.close_idle()
             assert server.has_partial_request
-            if whole:
-                caller.writer.write((STOCK % 1 + STOCK % 2)[cut:])
-                request, reply = await handler.taken.get()
+            if completed:
+                caller.writer.write((STOCK_REQUEST % 1 + STOCK_REQUEST % 2)[cut:])
+                request, reply = await handler.requests.get()
                 assert request.id == b"%016d" % 2
                 reply.answer(200, (), b"second")
             else:
                 server.reject_partial_requests()
             answer = await caller.answer()
-            assert (answer.code, answer.headers["connection"]) == (200 if whole else 503, "close")
-            assert await caller.ended()
+            assert (answer.code, answer.headers["connection"]) == (200 if completed else 503, "close")
+            assert await caller.closed_by_proxy()
 
     run(test())
 
 
-def test_who_has_connected_when_the_listener_closes_is_served() -> None:
-    """The kernel has taken the connection and the request; the loop has not accepted it yet."""
+def test_a_connection_in_the_backlog_is_served_when_the_listener_closes() -> None:
+    """The connection and its request are in the kernel's backlog; the event loop has not accepted it yet."""
 
     async def test() -> None:
-        handler = Held()
-        async with callers_side(handler) as (server, port):
+        handler = HoldingHandler()
+        async with running_server(handler) as (server, port):
             with socket.create_connection(("127.0.0.1", port)) as caller:
-                caller.sendall(STOCK % 1)
-                await server.accept_pending(time.monotonic() + PATIENCE)
-                _, reply = await handler.taken.get()
+                caller.sendall(STOCK_REQUEST % 1)
+                await server.accept_pending(time.monotonic() + TEST_TIMEOUT_S)
+                _, reply = await handler.requests.get()
                 reply.answer(200, (), b"served")
                 reader, writer = await asyncio.open_connection(sock=caller.dup())
                 assert (await Caller(reader, writer).answer()).body == b"served"
@@ -615,55 +629,55 @@
     run(test())
 
 
-async def wind_down(here: Node) -> asyncio.Task[None]:
-    """The node's own way to end, in its last part by now."""
-    ending = asyncio.ensure_future(drain(here.server, here.driver))
-    await here.until(lambda: here.server.draining)
-    return ending
+async def start_shutdown(proxy: InProcessProxy) -> asyncio.Task[None]:
+    """Starts the graceful shutdown and waits for its last phase: each answer closes its connection."""
+    shutdown = asyncio.ensure_future(drain(proxy.server, proxy.driver))
+    await proxy.wait_until(lambda: proxy.server.draining)
+    return shutdown
 
 
 @pytest.fixture
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """SIGTERM is followed by the wind-down at once."""
+def immediate_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The last phase of the graceful shutdown starts right after SIGTERM."""
     monkeypatch.setattr(program, "SHUTDOWN_ACCEPT_S", 0.0)
-    monkeypatch.setattr(program, "SHUTDOWN_CLOSING_S", PATIENCE)
+    monkeypatch.setattr(program, "SHUTDOWN_CLOSING_S", TEST_TIMEOUT_S)
 
 
-@pytest.mark.usefixtures("soon")
-def test_a_request_of_which_the_rest_comes_in_the_wind_down_is_answered(
+@pytest.mark.usefixtures("immediate_shutdown")
+def test_a_partial_request_completed_during_the_shutdown_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(program, "SHUTDOWN_PARTIAL_REQUEST_S", PATIENCE)
+    monkeypatch.setattr(program, "SHUTDOWN_PARTIAL_REQUEST_S", TEST_TIMEOUT_S)
 
     async def test() -> None:
-        async with node() as here:
-            caller = await here.caller()
-            caller.writer.write((STOCK % 1)[:40])
-            await here.until(lambda: here.server.has_partial_request)
-            ending = await wind_down(here)
-            caller.writer.write((STOCK % 1)[40:])
+        async with in_process_proxy() as proxy:
+            caller = await proxy.caller()
+            caller.writer.write((STOCK_REQUEST % 1)[:40])
+            await proxy.wait_until(lambda: proxy.server.has_partial_request)
+            shutdown = await start_shutdown(proxy)
+            caller.writer.write((STOCK_REQUEST % 1)[40:])
             answer = await caller.answer()
             assert (answer.code, answer.headers["connection"]) == (200, "close")
-            await ending
+            await shutdown
 
     run(test())
 
 
-@pytest.mark.usefixtures("soon")
-def test_a_request_that_does_not_come_whole_before_the_end_is_refused(
+@pytest.mark.usefixtures("immediate_shutdown")
+def test_a_request_incomplete_at_the_end_of_the_shutdown_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(program, "SHUTDOWN_PARTIAL_REQUEST_S", 0.0)
 
     async def test() -> None:
-        async with node() as here:
-            caller = await here.caller()
-            caller.writer.write((STOCK % 1)[:40])
-            await here.until(lambda: here.server.has_partial_request)
-            ending = await wind_down(here)
+        async with in_process_proxy() as proxy:
+            caller = await proxy.caller()
+            caller.writer.write((STOCK_REQUEST % 1)[:40])
+            await proxy.wait_until(lambda: proxy.server.has_partial_request)
+            shutdown = await start_shutdown(proxy)
             answer = await caller.answer()
             assert (answer.code, answer.headers["connection"]) == (503, "close")
             caller.writer.close()
-            await ending
+            await shutdown
 
     run(test())
--- a/tests/test_fleet_stand_ins.py
+++ b/tests/test_fleet_stand_ins.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from netkit import PATIENCE, Caller, endpoint, run
+from netkit import TEST_TIMEOUT_S, Caller, endpoint, run
 
 from granitepoint.fleet.backends import Backend, draw_times
 from granitepoint.fleet.callers import Callers, Front, Place, request
@@ -174,7 +174,7 @@
         while not desk.waits:
             await asyncio.sleep(0)
         here.down()
-        assert await caller.ended() and not desk.waits
+        assert await caller.closed_by_proxy() and not desk.waits
         with pytest.raises(ConnectionRefusedError):
             await connect(desk.listener.address)
         here.change(0, ["s-0"], weight=3.0)
@@ -201,7 +201,7 @@
         assert far.counts.calls == 1 and not waiting.done()
         waiting.cancel()
         here.heal()
-        assert await caller.ended()
+        assert await caller.closed_by_proxy()
         assert (await ask(await connect(far.listener.address), "/v1/servers"))[1]["index"] == 2
         here.down()
 
@@ -222,7 +222,7 @@
     made = Backend("b", "a", [HERE], read, settings or module_settings(), times, itertools.repeat(0.5))
     made.start()
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             yield made, await connect(made.listeners[0].address)
     finally:
         made.stop()
@@ -247,7 +247,7 @@
             away = await caller.raw(call(2))
             assert (away.code, away.headers["x-rejected"]) == (503, "1")
             made.stop()
-            assert await caller.ended()
+            assert await caller.closed_by_proxy()
             with pytest.raises(ConnectionRefusedError):
                 await connect(made.listeners[0].address)
             made.start()
@@ -295,7 +295,7 @@
             for number in (1, 2):
                 other = await connect(made.listeners[0].address)
                 other.writer.write(call(number))
-            assert await caller.ended()
+            assert await caller.closed_by_proxy()
             assert made.counts["fell over cold"] == 1
 
     run(test())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits that the decision modules keep: each is short, and none reads a clock or a socket."""
+"""Checks the limits of the policy modules: each is short, and none reads a clock or a socket."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MOST_LINES = 1200  # of one module, without blank ones
-PURE = {
+MAX_MODULE_LINES = 1200  # non-blank lines
+ALLOWED_IMPORTS = {
     "__future__", "bisect", "collections", "dataclasses", "enum", "granitepoint", "math", "random", "typing",
 }  # fmt: skip
 
@@ -19,7 +19,7 @@
 
 
 def imported(file: Path) -> set[str]:
-    """The top-level packages that a file imports."""
+    """Returns the top-level packages that a file imports."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(file.read_text("utf-8"))):
         if isinstance(node, ast.Import):
@@ -32,17 +32,17 @@
 def test_policy_files_are_short() -> None:
     for file in policy_files():
         lines = file.read_text("utf-8").splitlines()
-        assert 0 < sum(1 for line in lines if line.strip()) <= MOST_LINES
+        assert 0 < sum(1 for line in lines if line.strip()) <= MAX_MODULE_LINES
         assert max(map(len, lines)) <= 110
 
 
 def test_policy_files_import_nothing_that_reads_a_clock_or_does_input_or_output() -> None:
     for file in policy_files():
-        assert imported(file) <= PURE, file
+        assert imported(file) <= ALLOWED_IMPORTS, file
 
 
 def test_the_modules_that_decide_are_named_as_policy() -> None:
-    """All that the decision module imports of this package, but for the vocabulary."""
+    """Every module of this package that logic.py imports, except interface.py, is in the policy list."""
     named = {file.relative_to(ROOT).as_posix() for file in policy_files()}
     text = (ROOT / "granitepoint" / "logic.py").read_text("utf-8")
     modules = [node.module or "" for node in ast.walk(ast.parse(text)) if isinstance(node, ast.ImportFrom)]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: one event a line in both forms, whatever the values hold, and one request followed by its id."""
+"""Tests the log: one line per event in both formats, for any value, and the request's id on its events."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from netkit import ROOT, Backend, Seen, proxy, run, serve_ok
+from netkit import ROOT, Backend, ReceivedRequest, proxy, run, serve_ok
 
 from granitepoint.cli import main
 from granitepoint.net import logs
 
-WORD = re.compile(r'([\w.-]+)=("(?:[^"\\]|\\.)*"|[^ "=]+)(?: |$)')
-VALUES = st.one_of(st.none(), st.integers(), st.floats(), st.text(), st.binary())
+LOGFMT_WORD = re.compile(r'([\w.-]+)=("(?:[^"\\]|\\.)*"|[^ "=]+)(?: |$)')
+LOG_VALUES = st.one_of(st.none(), st.integers(), st.floats(), st.text(), st.binary())
 
 
 @pytest.fixture
 def lines() -> Iterator[Any]:
-    """Gives what starts the log in a form, and what was written since. All is as before at the end."""
+    """Yields a function that configures the log and returns its output; restores logging at the end."""
     root = logging.getLogger()
     before = root.handlers[:], root.level
     flags = logging._srcfile, logging.logThreads, logging.logProcesses, logging.logMultiprocessing
@@ -44,7 +44,7 @@
 
 
 def words(line: str) -> dict[str, str]:
-    found = WORD.findall(line)
+    found = LOGFMT_WORD.findall(line)
     assert "".join(f"{key}={value} " for key, value in found) == line + " ", line
     return {key: json.loads(value) if value[0] == '"' else value for key, value in found}
 
@@ -56,17 +56,17 @@
         odd = {"empty": "", "fault": 'a "b" = c', "no": None}
         events.info("thing_done", id=b"0123", after_s=0.12345678, count=3, **odd)
         line = stream.getvalue().rstrip("\n")
-        said = words(line) if form is logs.Format.TEXT else json.loads(line)
-        assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z", said.pop("time"))
+        logged = words(line) if form is logs.Format.TEXT else json.loads(line)
+        assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z", logged.pop("time"))
         numbers: tuple[object, object] = ("0.123457", "3") if form is logs.Format.TEXT else (0.123457, 3)
-        assert said == {
+        assert logged == {
             "level": "info", "event": "thing_done", "part": "part", "id": "0123",
             "after_s": numbers[0], "count": numbers[1], "empty": "", "fault": 'a "b" = c',
         }  # fmt: skip
 
 
-@given(values=st.dictionaries(st.from_regex(r"[a-z]{1,8}", fullmatch=True), VALUES, max_size=4))
-def test_whatever_a_value_holds_a_line_stays_one_line(values: dict[str, object]) -> None:
+@given(values=st.dictionaries(st.from_regex(r"[a-z]{1,8}", fullmatch=True), LOG_VALUES, max_size=4))
+def test_any_value_is_logged_on_a_single_line(values: dict[str, object]) -> None:
     record = logging.LogRecord("a.part", logging.INFO, "", 0, "thing_done", (), None)
     given = {f"x{key}": value for key, value in values.items()}
     record.__dict__["values"] = given
@@ -79,7 +79,7 @@
     assert set(json.loads(line)) - {"time", "level", "event", "part"} == present
 
 
-def test_a_class_of_any_name_makes_a_key(lines: Any) -> None:
+def test_any_class_name_is_turned_into_a_valid_key(lines: Any) -> None:
     stream = lines(logs.Format.TEXT)
     logs.EventLogger("x").info("figures", **{'target.a b="c\n_s': 0.5})
     assert words(stream.getvalue().rstrip("\n"))["target.a_b_c__s"] == "0.5"
@@ -95,14 +95,14 @@
     assert words(line)["traceback"].endswith("ValueError: two\nlines")
 
 
-def test_lines_for_debugging_are_not_thinned_out(lines: Any) -> None:
+def test_debug_lines_are_not_rate_limited(lines: Any) -> None:
     stream = lines(logs.Format.TEXT, logging.DEBUG)
     events = logs.EventLogger("x")
     for _ in range(3 * logs.MAX_LINES_PER_EVENT):
         events.debug("call_taken")
         events.info("thing_done")
-    told = [words(line)["event"] for line in stream.getvalue().splitlines()]
-    assert (told.count("call_taken"), told.count("thing_done")) == (
+    log_lines = [words(line)["event"] for line in stream.getvalue().splitlines()]
+    assert (log_lines.count("call_taken"), log_lines.count("thing_done")) == (
         3 * logs.MAX_LINES_PER_EVENT,
         logs.MAX_LINES_PER_EVENT,
     )
@@ -110,13 +110,13 @@
     assert not events.debug_enabled
 
 
-def followed(form: logs.Format) -> list[str]:
-    """What a proxy logs of one request whose first attempt the backend resets, from its start to SIGTERM."""
-    told: list[str] = []
+def log_of_one_request(form: logs.Format) -> list[str]:
+    """Returns the whole log of a proxy that served one request after its first attempt was reset."""
+    log_lines: list[str] = []
 
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            if backend.count == 1:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if backend.call_count == 1:
                 writer.transport.abort()
             else:
                 await serve_ok(seen, writer)
@@ -126,23 +126,23 @@
         async with proxy({"s-1": backend}, variables=variables) as node:
             assert (await (await node.caller()).call("stock", "7" * 16)).code == 200
             node.terminate()
-            assert await node.code() == 0 and node.process.stderr is not None
-            told.extend((await node.process.stderr.read()).decode().splitlines())
+            assert await node.exit_code() == 0 and node.process.stderr is not None
+            log_lines.extend((await node.process.stderr.read()).decode().splitlines())
 
     run(test())
-    return told
+    return log_lines
 
 
-def test_a_request_is_followed_by_its_id() -> None:
-    told = [json.loads(line) for line in followed(logs.Format.JSON)]
-    mine = [line for line in told if line.get("id") == "7" * 16]
-    assert [line["event"] for line in mine if line["level"] == "debug"] == [
+def test_all_events_of_a_request_have_its_id() -> None:
+    log_lines = [json.loads(line) for line in log_of_one_request(logs.Format.JSON)]
+    request_lines = [line for line in log_lines if line.get("id") == "7" * 16]
+    assert [line["event"] for line in request_lines if line["level"] == "debug"] == [
         "call_taken", "attempt_begun", "attempt_ended", "attempt_begun", "attempt_ended", "call_answered",
     ]  # fmt: skip
-    assert [line["status"] for line in mine if line["event"] == "attempt_ended"] == ["reset", "ok"]
-    rest = [line["event"] for line in mine if line["level"] == "info"]
+    assert [line["status"] for line in request_lines if line["event"] == "attempt_ended"] == ["reset", "ok"]
+    rest = [line["event"] for line in request_lines if line["level"] == "info"]
     assert rest == ["attempt_reset", "attempt_given_up"]
-    (figures,) = [line for line in told if line["event"] == "figures"]
+    (figures,) = [line for line in log_lines if line["event"] == "figures"]
     assert (figures["calls"], figures["answer.200"], figures["attempt.reset"]) == (1, 1, 1)
     assert figures["servers.serving"] == 1 and figures["window"] > 0
 
@@ -150,11 +150,15 @@
 def test_the_readme_shows_such_a_request_as_it_is_logged() -> None:
     (block,) = re.findall(r"```logfmt\n(.*?)```", (ROOT / "README.md").read_text(encoding="utf-8"), re.S)
     shown = [words(line) for line in block.splitlines()]
-    mine = [line for line in map(words, followed(logs.Format.TEXT)) if line.get("id") == "7" * 16]
-    assert [(line["event"], list(line)) for line in mine] == [(line["event"], list(line)) for line in shown]
+    request_lines = [
+        line for line in map(words, log_of_one_request(logs.Format.TEXT)) if line.get("id") == "7" * 16
+    ]
+    assert [(line["event"], list(line)) for line in request_lines] == [
+        (line["event"], list(line)) for line in shown
+    ]
 
 
-def test_the_command_line_hands_its_choice_to_a_proxy_without_libraries(
+def test_the_log_options_of_the_command_line_are_passed_to_the_proxy(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     started: list[tuple[list[str], dict[str, str]]] = []
@@ -168,7 +172,7 @@
 
 
 @pytest.mark.parametrize("name", ["EDGE_LOG_FORMAT", "EDGE_LOG_LEVEL"])
-def test_a_form_or_a_level_that_is_none_is_refused(name: str) -> None:
+def test_an_unknown_log_format_or_level_is_rejected(name: str) -> None:
     with pytest.raises(ValueError, match=f"{name} is .*, not 'loud'"):
         logs.read_log_options({name: "loud"})
     assert logs.read_log_options({name: ""}) == logs.read_log_options({}) == (logs.Format.TEXT, logging.INFO)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The program itself, over loopback sockets: what ends an attempt, the rules, bad input, limits, SIGTERM."""
+"""Tests the proxy process over loopback sockets: attempts, retry rules, bad input, limits and SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 import pytest
 from netkit import (
     GRADES,
-    PATIENCE,
     SETTINGS,
+    TEST_TIMEOUT_S,
     Backend,
     Discovery,
-    Seen,
+    ReceivedRequest,
     config,
     endpoint,
     listing,
@@ -31,11 +31,11 @@
 from granitepoint.net.discovery import HOLD_MS
 
 
-def test_a_call_goes_on_unchanged_and_its_answer_comes_back() -> None:
+def test_a_call_is_forwarded_unchanged_and_its_answer_comes_back() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 256  # 64 KiB
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(response(200, seen.body[::-1], X_Load_Report="inflight=1", X_Note="yes"))
 
         backend = Backend(behave)
@@ -55,8 +55,8 @@
     run(test())
 
 
-def test_the_proxy_is_one_thread() -> None:
-    """The platform may run one thread of a proxy at a time, and counts what all hold."""
+def test_the_proxy_runs_a_single_thread() -> None:
+    """The platform may run one thread of a proxy at a time, and counts the resources of all threads."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
@@ -79,39 +79,42 @@
     run(test())
 
 
-async def rejected(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def rejected(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, X_Rejected="1"))
 
 
-async def error(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def error(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, b"no mark, so it may have run"))
 
 
-async def reset(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def reset(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-async def cut_short(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def cut_short(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
     await writer.drain()
     writer.close()
 
 
-async def garbage(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def garbage(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(b"\x00\x01 this is not HTTP\r\n\r\n")
 
 
-async def twice(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def twice(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n" * 2)
 
 
-async def silent(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def silent(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     return
 
 
 @pytest.mark.parametrize("behave", [error, reset, cut_short, garbage, twice, silent])
 def test_an_unsafe_call_that_may_have_run_fails_after_one_attempt(behave: Any) -> None:
-    """Guards rule 2: any end but a marked rejection may have run, so neither a resend nor a refusal."""
+    """Rule 2: only a marked rejection proves that a call never ran.
+
+    After any other end a resend could run the call twice, and a refusal would wrongly say that it never ran.
+    """
 
     async def test() -> None:
         backends = {"s-1": Backend(behave), "s-2": Backend(behave)}
@@ -119,7 +122,7 @@
             reply = await (await node.caller()).call("canje", "a" * 16, budget="700m")
         assert reply.code in (502, 504)
         assert "retry-after" not in reply.headers
-        assert sum(backend.count for backend in backends.values()) == 1
+        assert sum(backend.call_count for backend in backends.values()) == 1
 
     run(test())
 
@@ -136,33 +139,36 @@
 
 
 def test_a_keyed_call_that_may_have_run_is_resent_only_within_its_zone() -> None:
-    """Guards rule 2 for keyed calls: only the backends of one zone drop each other's repeats."""
+    """Rule 2 for keyed calls: only backends of the same zone drop each other's repeats.
+
+    A resend to another zone would run the call a second time.
+    """
 
     async def test() -> None:
-        async def once(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def once(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if broken:
                 await serve_ok(seen, writer)
             else:
                 broken.append(seen)
                 writer.transport.abort()
 
-        broken: list[Seen] = []
+        broken: list[ReceivedRequest] = []
         near, far = [Backend(once), Backend(once)], [Backend(once), Backend(once)]
         discovery = await Discovery().start()
         for backend in (*near, *far):
             await backend.start()
-        discovery.put(
+        discovery.publish(
             2,
             *(endpoint(f"s-{n}", backend.address) for n, backend in enumerate(near)),
             *(endpoint(f"s-{n}", backend.address, zone="b") for n, backend in enumerate(far, 2)),
         )
         async with proxy({"s-0": near[0]}, discovery) as node:
-            async with asyncio.timeout(PATIENCE):
-                await discovery.asked.get()
-                await discovery.asked.get()  # the list is taken
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await discovery.requests.get()
+                await discovery.requests.get()  # the list has been accepted
             reply = await (await node.caller()).call("reserva", "7" * 16, budget="3500m")
             assert reply.code == 200
-        counts = [sum(backend.count for backend in zone) for zone in (near, far)]
+        counts = [sum(backend.call_count for backend in zone) for zone in (near, far)]
         assert sorted(counts) == [0, 2]
         for backend in (*near, *far):
             await backend.stop()
@@ -175,58 +181,58 @@
         discovery = await Discovery().start()
         backend = Backend()
         async with proxy({"s-1": backend}, discovery) as node:
-            async with asyncio.timeout(PATIENCE):
-                await discovery.asked.get()
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await discovery.requests.get()
                 discovery.changes.put_nowait(response(503))
-                await discovery.asked.get()
+                await discovery.requests.get()
                 discovery.changes.put_nowait(b"no HTTP at all")
-                await discovery.asked.get()
+                await discovery.requests.get()
             assert (await (await node.caller()).call("stock", "1" * 16)).code == 200
 
     run(test())
 
 
-def test_no_backend_up_is_a_refusal_at_once_that_says_when_to_come_back() -> None:
-    """The connection failed before a byte was written, so a refusal is harmless; it is not held back."""
+def test_without_a_live_backend_calls_are_refused_at_once_with_retry_after() -> None:
+    """The connection fails before a byte is written, so the call never ran and is refused without waiting."""
 
     async def test() -> None:
         gone = await Backend().start()
         await gone.stop()
         async with proxy({"s-1": gone}) as node:
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             reply = await (await node.caller()).call("canje", "b" * 16, budget="5000m")
-            took = asyncio.get_running_loop().time() - begun
+            elapsed = asyncio.get_running_loop().time() - started_at
         assert reply.code == 503
         assert 0 < float(reply.headers["retry-after"]) <= 2.0
-        assert took < 3.0
+        assert elapsed < 3.0
 
     run(test())
 
 
 def test_a_backend_that_contradicts_a_silent_watch_makes_the_proxy_ask_again() -> None:
-    """The first watch is taken and never answered, while a backend goes and another comes."""
+    """Discovery accepts the first watch but never answers it, while one backend is replaced by another."""
 
     async def test() -> None:
         discovery = await Discovery().start()
         gone, stays, comes = Backend(), Backend(), await Backend().start()
         async with proxy({"s-1": gone, "s-2": stays}, discovery) as node:
-            async with asyncio.timeout(PATIENCE):
-                assert "from=1" in await discovery.asked.get()
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                assert "from=1" in await discovery.requests.get()
             await gone.stop()
             caller = await node.caller()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 number = 0
-                while discovery.asked.empty():
+                while discovery.requests.empty():
                     number += 1
                     await caller.call("stock", f"{number:016x}")
                     await asyncio.sleep(0.02)
-                assert "from=1" in await discovery.asked.get()
-            for _ in range(2):  # the first is taken by the silent connection
-                discovery.put(2, endpoint("s-1", gone.address, "Gone"), endpoint("s-3", comes.address))
-            async with asyncio.timeout(PATIENCE):
-                # Two at a time: one call alone may stay with the open connection for good.
+                assert "from=1" in await discovery.requests.get()
+            for _ in range(2):  # the unanswered watch consumes the first one
+                discovery.publish(2, endpoint("s-1", gone.address, "Gone"), endpoint("s-3", comes.address))
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                # Two calls at a time: a single one could always reuse the connection to the other backend.
                 other = await node.caller()
-                while not comes.count:
+                while not comes.call_count:
                     number += 2
                     for place, each in enumerate((caller, other)):
                         each.send("stock", f"{number + place:016x}")
@@ -237,12 +243,12 @@
 
 
 def test_a_late_answer_reaches_nobody() -> None:
-    """A timed out attempt gives up its connection: its answer must not become that of the next call."""
+    """A timed-out attempt closes its connection, or its answer would be taken for that of the next call."""
 
     async def test() -> None:
         held: list[asyncio.StreamWriter] = []
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"] == "c" * 16:
                 held.append(writer)
             else:
@@ -260,24 +266,24 @@
     run(test())
 
 
-def test_a_draining_backend_gets_nothing_new_and_a_readdressed_one_no_old_connection() -> None:
+def test_a_draining_backend_gets_no_new_calls_and_a_new_address_no_old_connection() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         one, two, moved = Backend(), await Backend().start(), await Backend().start()
         async with proxy({"s-1": one}, discovery) as node:
             caller = await node.caller()
             assert (await caller.call("canje", "0" * 16)).code == 200
-            discovery.put(2, endpoint("s-1", one.address, "Terminating"), endpoint("s-2", two.address))
-            async with asyncio.timeout(PATIENCE):
-                await one.closed.get()  # told: its idle connections close
+            discovery.publish(2, endpoint("s-1", one.address, "Terminating"), endpoint("s-2", two.address))
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await one.closed.get()  # the proxy has the new list and closes its idle connections
             for number in range(1, 5):
                 assert (await caller.call("canje", f"{number:016x}")).code == 200
-            assert (one.count, two.count) == (1, 4)
-            discovery.put(3, endpoint("s-2", moved.address))
-            async with asyncio.timeout(PATIENCE):
+            assert (one.call_count, two.call_count) == (1, 4)
+            discovery.publish(3, endpoint("s-2", moved.address))
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await two.closed.get()
             assert (await caller.call("canje", f"{9:016x}")).code == 200
-            assert (two.count, moved.count) == (4, 1)
+            assert (two.call_count, moved.call_count) == (4, 1)
         await moved.stop()
 
     run(test())
@@ -288,13 +294,13 @@
         discovery = await Discovery().start()
         backend = Backend()
         async with proxy({"s-1": backend}, discovery) as node:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 held = f"hold_ms={HOLD_MS}"
-                await discovery.until_asked(f"/v1/servers?from=1&{held}")
-                discovery.put(7)
-                await discovery.until_asked(f"/v1/servers?from=7&{held}")
+                await discovery.wait_for_request(f"/v1/servers?from=1&{held}")
+                discovery.publish(7)
+                await discovery.wait_for_request(f"/v1/servers?from=7&{held}")
                 discovery.changes.put_nowait(response(200, b'{"index": 9, "endpoints": [{"name": 3}]}'))
-                assert (await discovery.asked.get()).startswith("/v1/servers?from=7&hold_ms=")
+                assert (await discovery.requests.get()).startswith("/v1/servers?from=7&hold_ms=")
             assert (await (await node.caller()).call("stock", "1" * 16)).code == 200
 
     run(test())
@@ -324,13 +330,13 @@
             + b"a" * 0x40001 + b"\r\n0\r\n\r\n", id="long chunk"),
     ],
 )  # fmt: skip
-def test_bad_input_reaches_nobody_and_harms_no_other(code: int, data: bytes) -> None:
+def test_bad_input_reaches_no_backend_and_harms_no_other_caller(code: int, data: bytes) -> None:
     async def test() -> None:
         backend = Backend()
         async with proxy({"s-1": backend}) as node:
             bad, good = await node.caller(), await node.caller()
             assert (await bad.raw(data)).code == code
-            assert backend.count == 0
+            assert backend.call_count == 0
             assert (await good.call("stock", "2" * 16)).code == 200
 
     run(test())
@@ -339,7 +345,7 @@
 @pytest.mark.parametrize(
     "framing", [b"Content-Length: 2 \t\r\n\r\nhi", b"Transfer-Encoding: chunked \r\n\r\n2\r\nhi\r\n0\r\n\r\n"]
 )
-def test_blanks_round_the_values_of_headers_are_no_part_of_them(framing: bytes) -> None:
+def test_blanks_around_header_values_are_stripped(framing: bytes) -> None:
     async def test() -> None:
         backend = Backend()
         async with proxy({"s-1": backend}) as node:
@@ -355,12 +361,12 @@
 
 def test_long_requests_and_answers_pass_whole() -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(response(200, seen.body * 2))
 
         async with proxy({"s-1": Backend(behave)}) as node:
             body = bytes(range(251)) * 500
-            for number in range(20):  # each makes room for the next
+            for number in range(20):  # each frees its memory for the next
                 reply = await (await node.caller()).call("canje", f"{number:016x}", body=body)
                 assert (reply.code, reply.body) == (200, body * 2)
 
@@ -372,15 +378,17 @@
         async with proxy({"s-1": Backend()}) as node:
             caller = await node.caller()
             for number in range(40):
-                caller.send("canje", f"{number:016x}", budget="6000m")  # the time runs for all of them
+                caller.send(
+                    "canje", f"{number:016x}", budget="6000m"
+                )  # the budget of all of them runs from the start
             bodies = [(await caller.answer()).body for _ in range(40)]
         assert bodies == [b"done " + f"{n:016x}".encode() for n in range(40)]
 
     run(test())
 
 
-def test_an_id_that_is_still_out_gets_no_second_copy() -> None:
-    """Guards one attempt out at a time against a caller that sends the same request on two connections."""
+def test_a_second_request_with_an_id_in_use_gets_409() -> None:
+    """A caller sends the same request on two connections; two attempts at a time could run it twice."""
 
     async def test() -> None:
         backend = Backend(silent)
@@ -390,12 +398,12 @@
             await next_call(backend)
             assert (await second.call("canje", "e" * 16)).code == 409
             assert (await first.answer()).code in (502, 504)
-        assert backend.count == 1
+        assert backend.call_count == 1
 
     run(test())
 
 
-def test_a_caller_that_leaves_takes_its_attempt_with_it() -> None:
+def test_the_attempt_is_cancelled_when_its_caller_disconnects() -> None:
     async def test() -> None:
         backend = Backend(silent)
         async with proxy({"s-1": backend}) as node:
@@ -403,17 +411,17 @@
             caller.send("canje", "f" * 16, budget="5000m")
             await next_call(backend)
             caller.writer.close()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await backend.closed.get()
 
     run(test())
 
 
-def test_sigterm_serves_on_for_a_while_finishes_what_is_held_and_exits_0() -> None:
+def test_after_sigterm_the_proxy_serves_on_finishes_open_calls_and_exits_0() -> None:
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"] == "a" * 16:
                 await free.wait()
             await serve_ok(seen, writer)
@@ -426,26 +434,26 @@
             await next_call(backend)
             await next_call(backend)
             node.terminate()
-            late = await node.caller()  # connections still come
+            late = await node.caller()  # new connections are still accepted
             assert (await late.call("stock", "2" * 16)).code == 200
-            assert await idle.ended()  # the kept ones end, unhurried
+            assert await idle.closed_by_proxy()  # idle connections are closed in the last phase
             assert node.process.returncode is None
             free.set()
             reply = await held.answer()
             assert (reply.code, reply.headers["connection"]) == (200, "close")
-            assert await node.code() == 0
+            assert await node.exit_code() == 0
 
     run(test())
 
 
 def test_a_backend_that_fell_silent_loses_its_idle_connections() -> None:
-    """A machine that vanished leaves open, silent connections; each would cost a call to find out."""
+    """A machine that vanished leaves open, silent connections; each of them would cost a failed call."""
 
     async def test() -> None:
         together = asyncio.Event()
         mute = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if mute.is_set():
                 return
             await together.wait()
@@ -462,7 +470,7 @@
             assert [(await caller.answer()).code for caller in callers] == [200] * 3
             mute.set()
             assert (await callers[0].call("stock", "8" * 16, budget="900m")).code == 503
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 closed = {await backend.closed.get() for _ in used}
         assert len(used) == 3 and closed == used
 
@@ -470,7 +478,7 @@
 
 
 def test_the_answer_to_bad_input_arrives_though_more_is_on_its_way() -> None:
-    """Closing on unread bytes resets the connection, and a reset can overtake the answer."""
+    """Closing a socket with unread bytes resets the connection, and the reset can overtake the answer."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
@@ -487,13 +495,13 @@
     run(test())
 
 
-def test_at_the_limit_of_descriptors_it_sheds_and_goes_on() -> None:
-    """Guards against EMFILE: beyond the bound a caller gets a refusal, and upstreams keep their share."""
+def test_at_the_connection_limit_new_callers_are_refused_and_others_served() -> None:
+    """Over the limit a caller is refused, so that upstreams keep their share and EMFILE never occurs."""
 
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
             await serve_ok(seen, writer)
 
@@ -511,13 +519,13 @@
     run(test())
 
 
-def test_a_proxy_without_room_advises_no_wait_where_the_settings_do_not_allow_it() -> None:
-    """Neither the bound on connections nor the one on open calls says when to come back by itself."""
+def test_refusals_at_capacity_have_no_retry_after_if_the_settings_forbid_it() -> None:
+    """Refusals by the connection limit and by the limit of open calls have no Retry-After of their own."""
 
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
             await serve_ok(seen, writer)
 
@@ -543,13 +551,16 @@
     run(test())
 
 
-def test_callers_that_were_told_that_there_is_no_room_make_none_for_others() -> None:
-    """They come while the process stands still, so each is accepted while the one before still leaves."""
+def test_refused_connections_free_no_capacity_for_other_callers() -> None:
+    """They connect while the process is stopped, so each is accepted while the one before is still closing.
+
+    Evicting one of the refused connections must not count as capacity for another served one.
+    """
 
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
             await serve_ok(seen, writer)
 
@@ -560,17 +571,17 @@
             for number, caller in enumerate(callers):
                 caller.send("canje", f"{number:016x}", budget="9000m")
             node.process.send_signal(signal.SIGCONT)
-            told = [await caller.answer() for caller in callers[30:]]
-            assert {answer.code for answer in told} == {503}
-            assert {answer.body for answer in told} == {b"no room for this connection\n"}
+            refusals = [await caller.answer() for caller in callers[30:]]
+            assert {answer.code for answer in refusals} == {503}
+            assert {answer.body for answer in refusals} == {b"no room for this connection\n"}
             free.set()
             assert [(await caller.answer()).code for caller in callers[:9]] == [200] * 9
 
     run(test())
 
 
-def test_an_idle_connection_makes_room_for_a_new_caller() -> None:
-    """Kept connections that ask nothing must not shut others out."""
+def test_an_idle_connection_is_evicted_for_a_new_caller() -> None:
+    """Idle keep-alive connections must not keep new callers out."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}, sockets=64) as node:
@@ -581,40 +592,40 @@
                 caller = await node.caller()
                 if (await caller.call("stock", f"{number:016x}")).code == 200:
                     break
-            assert await idle[0].ended()
+            assert await idle[0].closed_by_proxy()
 
     run(test())
 
 
-def test_an_answer_that_came_while_the_process_stood_still_is_served() -> None:
-    """After a stall timers run before sockets are read: a time-out must not throw away what has come."""
+def test_an_answer_that_arrived_during_a_stall_is_served() -> None:
+    """After a stall timers run before sockets are read: a timeout must not discard an arrived answer."""
 
     async def test() -> None:
         answered = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             node.process.send_signal(signal.SIGSTOP)
             await serve_ok(seen, writer)
             await writer.drain()
             answered.set()
 
         backend = Backend(behave)
-        # An attempt has 500 ms, the aim; the call has time for a machine that stands still besides.
+        # An attempt has 500 ms, the latency objective; the deadline allows for stalls of the test machine.
         grades = [{**grade, "deadline": 6.0} for grade in GRADES]
         async with proxy({"s-1": backend}, grades=grades) as node:
             caller = await node.caller()
             caller.send("stock", "5" * 16, budget="6000m")
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await answered.wait()
             await asyncio.sleep(0.7)  # the stall itself
             node.process.send_signal(signal.SIGCONT)
-            assert (await caller.answer()).code == 200 and backend.count == 1
+            assert (await caller.answer()).code == 200 and backend.call_count == 1
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "defect",
     [
         "no file",
         "not json",
@@ -626,29 +637,29 @@
         "bad known",
     ],
 )
-def test_a_bad_configuration_is_one_line_and_exit_2(spoil: str) -> None:
+def test_a_bad_configuration_is_one_line_and_exit_2(defect: str) -> None:
     async def test() -> None:
         raw: Any = config("127.0.0.1:1", listing(1), "127.0.0.1:0")
-        if spoil == "not json":
+        if defect == "not json":
             raw = "{"
-        elif spoil == "no settings":
+        elif defect == "no settings":
             del raw["settings"]
-        elif spoil == "bad setting":
+        elif defect == "bad setting":
             raw["settings"]["contract"]["cold_from"] = 7
-        elif spoil == "bad address":
+        elif defect == "bad address":
             raw["listen"] = "nowhere"
-        elif spoil == "endless sockets":
+        elif defect == "endless sockets":
             raw["limits"]["sockets"] = math.inf
-        elif spoil == "endless seed":
+        elif defect == "endless seed":
             raw["seed"] = math.inf
-        elif spoil == "bad known":
+        elif defect == "bad known":
             raw["known"] = {"index": 1, "snapshot": True, "endpoints": [{"name": "s-1"}]}
-        elif spoil == "no file":
+        elif defect == "no file":
             raw = ""
         with tempfile.TemporaryDirectory() as folder:
             process = await start_program(raw, folder)
-            _, told = await process.communicate()
+            _, output = await process.communicate()
         assert process.returncode == 2
-        assert len(told.decode().strip().splitlines()) == 1
+        assert len(output.decode().strip().splitlines()) == 1
 
     run(test())
--- a/tests/test_unconfirmed_list.py
+++ b/tests/test_unconfirmed_list.py
@@ -30,8 +30,8 @@
     Backend,
     Discovery,
     Proxy,
-    Seen,
-    held_address,
+    ReceivedRequest,
+    reserved_address,
     proxy,
     read_message,
     response,
@@ -54,7 +54,7 @@
         self.draining = False
         self.last_call_at = -1.0
 
-    async def _serve(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         self.last_call_at = asyncio.get_running_loop().time()
         await asyncio.sleep(SERVICE_TIME)
         await serve_ok(seen, writer)
@@ -63,11 +63,11 @@
         self.writers.append(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                seen = Seen(*await read_message(reader), 0)
+                seen = ReceivedRequest(*await read_message(reader), 0)
                 if seen.target == "/load":
                     writer.write(response(503) if self.draining else response(200, b"inflight=0,queue=0"))
                 else:
-                    self.count += 1
+                    self.call_count += 1
                     await self.behave(seen, writer)
         writer.close()
 
@@ -137,7 +137,7 @@
         await discovery.start()
         async with proxy({"s-1": leaving, "s-2": staying}, discovery) as node:
             traffic = Traffic(node)
-            await traffic.until(lambda: leaving.count > CALLERS and staying.count > CALLERS)
+            await traffic.until(lambda: leaving.call_count > CALLERS and staying.call_count > CALLERS)
             discovery.go_away()
             leaving.draining, drained_at = True, traffic.clock()
             told_at = drained_at + TOLD_AFTER + GRACE
@@ -155,14 +155,14 @@
     async def test() -> None:
         leaving, staying = HealthCheckedBackend(), HealthCheckedBackend()
         leaving.draining = True
-        with held_address() as nowhere:
+        with reserved_address() as nowhere:
             discovery = await FailingDiscovery().start()
             if away == "refusing":
                 discovery.address = nowhere
             async with proxy({"s-1": leaving, "s-2": staying}, discovery) as node:
                 answer = await (await node.caller()).call("canje", "1" * 16, budget="1000m")
                 assert answer.code == 503 and float(answer.headers["retry-after"]) > 0
-                assert leaving.count == staying.count == 0
+                assert leaving.call_count == staying.call_count == 0
 
     run(test())
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter over a hand-written transcript."""
+"""Tests the simulator adapter with a hand-written transcript of its line protocol."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     )
 
 
-def later(who: int) -> list[str]:
+def later_batches(who: int) -> list[str]:
     return [
         f"ingress who={who} call=5{who} cls=read time_budget=1.5\n"
         f"ingress who={who} call=6{who} cls=write time_budget=1\n",
@@ -49,13 +49,13 @@
 
 def transcript(*instances: int) -> str:
     steps = ["", "".join(start(who) for who in instances)]
-    steps += ["".join(later(who)[n] for who in instances) for n in range(4)]
+    steps += ["".join(later_batches(who)[n] for who in instances) for n in range(4)]
     return "".join(
         f"tick clock={100 + 0.1 * n:.6f} seq={n}\n{step}your_turn\n" for n, step in enumerate(steps)
     )
 
 
-def play(text: str) -> str:
+def run_in_process(text: str) -> str:
     sink = io.StringIO()
     Host(io.StringIO(text), sink).run()
     return sink.getvalue()
@@ -74,7 +74,7 @@
 
 
 def test_transcript() -> None:
-    reply = play(transcript(0)).splitlines()
+    reply = run_in_process(transcript(0)).splitlines()
     assert [line for line in reply if line.startswith("eor")] == [f"eor seq={n}" for n in range(6)]
     first = reply[reply.index("eor seq=1") + 1 : reply.index("eor seq=2")]
     assert {line for line in first if line.startswith("poll")} <= {
@@ -93,15 +93,15 @@
     assert not any(line.startswith("fatal") for line in reply)
 
 
-def test_same_bytes_under_other_hash_seeds_and_spreads() -> None:
+def test_output_is_independent_of_the_hash_seed_and_of_other_instances() -> None:
     together = run(transcript(0, 1), "1")
     assert together.returncode == 0 and together.stderr == ""
-    assert together.stdout == run(transcript(0, 1), "2").stdout == play(transcript(0, 1))
+    assert together.stdout == run(transcript(0, 1), "2").stdout == run_in_process(transcript(0, 1))
     lines = together.stdout.splitlines()
     for who in (0, 1):
-        mine = [line for line in lines if f" who={who}" in line]
-        alone = [line for line in play(transcript(who)).splitlines() if " who=" in line]
-        assert mine == alone and mine
+        own_lines = [line for line in lines if f" who={who}" in line]
+        alone = [line for line in run_in_process(transcript(who)).splitlines() if " who=" in line]
+        assert own_lines == alone and own_lines
 
 
 @pytest.mark.parametrize(
@@ -126,12 +126,12 @@
     ],
 )
 def test_malformed_line_ends_with_status_2(line: str, field: str) -> None:
-    done = run(f"tick clock=1 seq=0\n{start(0)}{line}\nyour_turn\n")
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1 and field in done.stderr and line in done.stderr
+    completed = run(f"tick clock=1 seq=0\n{start(0)}{line}\nyour_turn\n")
+    assert completed.returncode == 2
+    assert len(completed.stderr.splitlines()) == 1 and field in completed.stderr and line in completed.stderr
 
 
-def test_cut_batches_and_end_of_input() -> None:
+def test_incomplete_batches_end_with_status_2_and_end_of_input_with_0() -> None:
     assert run("").returncode == 0
     assert run(transcript(0)).returncode == 0
     for text in (
@@ -140,11 +140,11 @@
         "tick clock=1 seq=0\nyour_t",
         "wakeup who=0 key_back=1\n",
     ):
-        done = run(text)
-        assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+        completed = run(text)
+        assert completed.returncode == 2 and len(completed.stderr.splitlines()) == 1
 
 
-def pairs(text: str) -> dict[str, str]:
+def parse_pairs(text: str) -> dict[str, str]:
     return dict(part.split("=", 1) for part in text.format(me=0).split(" "))
 
 
@@ -168,38 +168,38 @@
         ("policy_limits.streams_per_conn", "0"),
         ("policy_limits.connect_timeout", "-1"),
         ("stage", "1.5"),
-        ("stage", "1" + 400 * "0"),  # what a float can't hold ended the program with a traceback
+        ("stage", "1" + 400 * "0"),  # an integer too large for a float made the program exit with a traceback
         ("me", "1" + 400 * "0"),
         ("balancers", "1" + 400 * "0"),
     ],
     ids=lambda text: None if text is None else text[:40],
 )
 def test_bad_settings_name_the_key(key: str, value: str | None) -> None:
-    params = pairs(PARAMS)
+    params = parse_pairs(PARAMS)
     if value is None:
         del params[key]
     else:
         params[key] = value
-    shown = key.split(".")[-1] if value is not None else key
+    parsed = key.split(".")[-1] if value is not None else key
     names = {"objective": "aim", "send_cap": "max_attempts", "count": "classes"}
     names["streams_per_conn"] = "calls_per_connection"
-    with pytest.raises(ValueError, match=names.get(shown, shown)):
+    with pytest.raises(ValueError, match=names.get(parsed, parsed)):
         read_settings(params)
 
 
-def test_fault_in_the_module_becomes_fatal(
+def test_an_exception_in_the_module_becomes_a_fatal_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> None:
         raise RuntimeError("two\nlines")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    reply = play(transcript(0))
+    reply = run_in_process(transcript(0))
     assert "fatal who=0 words=RuntimeError: two lines" in reply.splitlines()
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_status_numbers_are_the_wire_s() -> None:
+def test_status_numbers_match_the_wire_format() -> None:
     from granitepoint import Status
 
     assert [status.name for status in Status] == [
@@ -214,9 +214,9 @@
     ]
 
 
-def test_settings_of_the_wire_page() -> None:
-    shown = read_settings(
-        pairs(
+def test_all_documented_settings_are_read() -> None:
+    parsed = read_settings(
+        parse_pairs(
             PARAMS
             + " stages=front,back dcs=north,south kinds=std quantum=0.005 report.names=busy_reqs,odd,svc_ms"
             " report.via=inline weights=rough worth_by=work policy_limits.peers=true"
@@ -226,13 +226,22 @@
             " policy_limits.cpu_us_per_s=2000000"
         )
     )
-    assert isinstance(shown, Settings)
-    assert (shown.stages, shown.zones, shown.kinds, shown.quantum) == (2, ("north", "south"), ("std",), 0.005)
-    assert (shown.report_names, shown.reports, shown.weights) == (("busy_reqs", "svc_ms"), "answer", "rough")
-    assert shown.worth_by_work and shown.may_tell and shown.clients_mark_retries and shown.most_held == 9
-    assert (shown.connect_timeout, shown.calls_per_connection, shown.cpu_per_s) == (0.15, 100, 2.0)
-    assert (shown.price_waste, shown.price_late_fail, shown.goal_class) == (0.04, 0.05, 0.2)
-    plain = read_settings(pairs(PARAMS))
+    assert isinstance(parsed, Settings)
+    assert (parsed.stages, parsed.zones, parsed.kinds, parsed.quantum) == (
+        2,
+        ("north", "south"),
+        ("std",),
+        0.005,
+    )
+    assert (parsed.report_names, parsed.reports, parsed.weights) == (
+        ("busy_reqs", "svc_ms"),
+        "answer",
+        "rough",
+    )
+    assert parsed.worth_by_work and parsed.may_tell and parsed.clients_mark_retries and parsed.most_held == 9
+    assert (parsed.connect_timeout, parsed.calls_per_connection, parsed.cpu_per_s) == (0.15, 100, 2.0)
+    assert (parsed.price_waste, parsed.price_late_fail, parsed.goal_class) == (0.04, 0.05, 0.2)
+    plain = read_settings(parse_pairs(PARAMS))
     assert (plain.reports, plain.weights, plain.may_tell, plain.connect_timeout) == (
         "probe",
         "nominal",
@@ -247,11 +256,11 @@
 
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "granitepoint.benchlink"],
         input=b"tick clock=1 seq=0\n\xff\xfe=1\nm\n",
         capture_output=True,
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 2 and done.stdout == b"" and len(done.stderr.splitlines()) == 1
+    assert completed.returncode == 2 and completed.stdout == b"" and len(completed.stderr.splitlines()) == 1
