--- a/granitepoint/net/logs.py
+++ b/granitepoint/net/logs.py
@@ -118,7 +118,7 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Limits the lines per event, so that a flood of bad input can't flood the log; DEBUG is not limited."""
+    """Limits the lines per event, so that bad input can't flood the log. DEBUG lines are opt-in: all pass."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -49,6 +49,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+    """Reads one HTTP message: its first line, its headers with lower-case names, and its body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {}
     for line in head[1:]:
@@ -60,6 +61,7 @@
 
 
 def response(code: int, body: bytes = b"", **headers: str) -> bytes:
+    """Returns an HTTP response; an underscore in a header's name stands for a hyphen."""
     lines = [f"HTTP/1.1 {code} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -82,6 +84,7 @@
 
 
 async def serve_ok(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    """Answers 200 with the call id in the body."""
     writer.write(response(200, b"done " + seen.headers["x-call-id"].encode()))
 
 
@@ -170,16 +173,19 @@
             return response(200, json.dumps(unchanged).encode())
 
     def publish(self, index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
+        """Queues a change, or a whole list (snapshot), as the next answer."""
         listed = json.dumps(listing(index, *endpoints, snapshot=snapshot))
         self.changes.put_nowait(response(200, listed.encode()))
 
 
 def endpoint(name: str, address: str, status: str = "Ready", **more: Any) -> dict[str, Any]:
+    """Returns one server of a list in discovery's format."""
     return {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "status": status,
             "weight": 1.0, "since_ms": 0, **more}  # fmt: skip
 
 
 def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
+    """Returns a list of servers in discovery's format: the whole list (snapshot) or changes."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
 
 
@@ -207,6 +213,7 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def answer(self) -> Answer:
+        """Waits for the next answer."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return Answer(*await read_message(self.reader))
 
@@ -217,10 +224,12 @@
         return await self.answer()
 
     async def raw(self, data: bytes) -> Answer:
+        """Sends these bytes unchanged and waits for an answer."""
         self.writer.write(data)
         return await self.answer()
 
     async def closed_by_proxy(self) -> bool:
+        """Waits until the proxy closes the connection; returns False if it sends a byte instead."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 return await self.reader.read(1) == b""
@@ -256,17 +265,20 @@
         self.process.send_signal(signal.SIGTERM)
 
     async def exit_code(self) -> int:
+        """Waits until the process exits."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
 
 def config(discovery: str, known: dict[str, Any], listen: str, /, **changes: Any) -> dict[str, Any]:
+    """Returns a configuration file's content, with these keys of the settings changed."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": changes.pop("sockets", 1024)}
     return {"name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
             "limits": limits, "known": known, "settings": copy.deepcopy({**SETTINGS, **changes})}  # fmt: skip
 
 
 async def start_program(raw: object, folder: str, **variables: str) -> asyncio.subprocess.Process:
+    """Starts a proxy with this configuration file and these environment variables."""
     path = Path(folder) / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw), encoding="utf-8")
     environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
@@ -279,6 +291,7 @@
 
 
 async def until_ready(process: asyncio.subprocess.Process, address: tuple[str, int]) -> None:
+    """Waits until the proxy is ready; raises AssertionError if it exits."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -322,6 +335,8 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
+    """Runs an asynchronous test with a time limit."""
+
     async def bounded() -> None:
         async with asyncio.timeout(4 * TEST_TIMEOUT_S):
             await test
@@ -330,5 +345,6 @@
 
 
 async def next_call(backend: Backend) -> ReceivedRequest:
+    """Waits for the next call that a backend receives."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
         return await backend.calls.get()
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -1,9 +1,9 @@
 """Connections that arrive while accept() lacks descriptors must be accepted later, not closed.
 
 On ENFILE and EMFILE the event loop's own library frees a spare descriptor, accepts whatever waits in the
-backlog and closes it. When accept failed with ENFILE for three seconds, in six calls of ten, 10 to 40 requests
-that had been sent on new connections ended without an answer, all within one millisecond. ECONNABORTED,
-ENOBUFS and EINTR, which the library handles otherwise, lost none.
+backlog and closes it. When accept failed with ENFILE for three seconds, in six calls of ten, 10 to 40
+requests that had been sent on new connections ended without an answer, all within one millisecond.
+ECONNABORTED, ENOBUFS and EINTR, which the library handles otherwise, lost none.
 """
 
 from __future__ import annotations
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -248,8 +248,8 @@
             (exchange,) = proxy.driver.out.values()
             exchange.ends_at -= 4.0  # as if the connect had taken 4 s
             up.set()
-            told = (await next_call(proxy.backend)).headers["x-budget"]
-            assert 0 < int(told[:-1]) <= 2_000_000
+            sent_budget = (await next_call(proxy.backend)).headers["x-budget"]
+            assert 0 < int(sent_budget[:-1]) <= 2_000_000
             assert (await caller.answer()).code == 200
 
     run(test())
@@ -305,11 +305,11 @@
 @pytest.mark.parametrize("behind", [b"", STOCK_REQUEST % 2], ids=["alone", "with bytes behind it"])
 def test_a_request_is_not_retried_after_its_caller_disconnects(behind: bytes) -> None:
     async def test() -> None:
-        turn_away = asyncio.Event()
+        release_rejection = asyncio.Event()
 
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"] == FIRST_ID:
-                await turn_away.wait()
+                await release_rejection.wait()
                 rejected(seen, writer)
             else:
                 await serve_ok(seen, writer)
@@ -320,7 +320,7 @@
             caller.writer.write(behind)
             assert (await next_call(proxy.backend)).headers["x-call-id"] == FIRST_ID
             proxy.set_backend_status("Terminating")  # the next attempt has to wait in the queue
-            turn_away.set()
+            release_rejection.set()
             await proxy.wait_until(lambda: bool(proxy.driver.balancer.queue))
             caller.writer.close()
             await proxy.wait_until_disconnected()
@@ -375,7 +375,7 @@
             started, written_requests = 0, []
             run_on, begin = up.Exchange.run_on, up.Connection.begin
 
-            def leave_first(exchange: up.Exchange, connection: up.Connection) -> None:
+            def disconnect_first(exchange: up.Exchange, connection: up.Connection) -> None:
                 nonlocal started
                 if FIRST_ID.encode() in exchange.request(1.0):
                     started += 1
@@ -383,12 +383,12 @@
                         end(caller)
                 run_on(exchange, connection)
 
-            def note(connection: up.Connection, exchange: up.Exchange) -> None:
+            def record(connection: up.Connection, exchange: up.Exchange) -> None:
                 written_requests.append(exchange.request(1.0))
                 begin(connection, exchange)
 
-            monkeypatch.setattr(up.Exchange, "run_on", leave_first)
-            monkeypatch.setattr(up.Connection, "begin", note)
+            monkeypatch.setattr(up.Exchange, "run_on", disconnect_first)
+            monkeypatch.setattr(up.Connection, "begin", record)
             head = b"POST /canje HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget: 6000m\r\n" % FIRST_ID.encode()
             caller.sendall(head + b"Content-Length: 0\r\n\r\n" + behind)
             await proxy.wait_until(lambda: started == last)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -196,9 +196,9 @@
     """The connection fails before a byte is written, so the call never ran and is refused without waiting."""
 
     async def test() -> None:
-        gone = await Backend().start()
-        await gone.stop()
-        async with proxy({"s-1": gone}) as node:
+        stopped = await Backend().start()
+        await stopped.stop()
+        async with proxy({"s-1": stopped}) as node:
             started_at = asyncio.get_running_loop().time()
             reply = await (await node.caller()).call("canje", "b" * 16, budget="5000m")
             elapsed = asyncio.get_running_loop().time() - started_at
@@ -214,11 +214,11 @@
 
     async def test() -> None:
         discovery = await Discovery().start()
-        gone, stays, comes = Backend(), Backend(), await Backend().start()
-        async with proxy({"s-1": gone, "s-2": stays}, discovery) as node:
+        stopped, remaining, added = Backend(), Backend(), await Backend().start()
+        async with proxy({"s-1": stopped, "s-2": remaining}, discovery) as node:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=1" in await discovery.requests.get()
-            await gone.stop()
+            await stopped.stop()
             caller = await node.caller()
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 number = 0
@@ -228,16 +228,16 @@
                     await asyncio.sleep(0.02)
                 assert "from=1" in await discovery.requests.get()
             for _ in range(2):  # the unanswered watch consumes the first one
-                discovery.publish(2, endpoint("s-1", gone.address, "Gone"), endpoint("s-3", comes.address))
+                discovery.publish(2, endpoint("s-1", stopped.address, "Gone"), endpoint("s-3", added.address))
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 # Two calls at a time: a single one could always reuse the connection to the other backend.
                 other = await node.caller()
-                while not comes.call_count:
+                while not added.call_count:
                     number += 2
                     for place, each in enumerate((caller, other)):
                         each.send("stock", f"{number + place:016x}")
                     assert [(await each.answer()).code for each in (caller, other)] == [200, 200]
-        await comes.stop()
+        await added.stop()
 
     run(test())
 
@@ -419,11 +419,11 @@
 
 def test_after_sigterm_the_proxy_serves_on_finishes_open_calls_and_exits_0() -> None:
     async def test() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"] == "a" * 16:
-                await free.wait()
+                await release.wait()
             await serve_ok(seen, writer)
 
         backend = Backend(behave)
@@ -438,7 +438,7 @@
             assert (await late.call("stock", "2" * 16)).code == 200
             assert await idle.closed_by_proxy()  # idle connections are closed in the last phase
             assert node.process.returncode is None
-            free.set()
+            release.set()
             reply = await held.answer()
             assert (reply.code, reply.headers["connection"]) == (200, "close")
             assert await node.exit_code() == 0
@@ -451,10 +451,10 @@
 
     async def test() -> None:
         together = asyncio.Event()
-        mute = asyncio.Event()
+        silenced = asyncio.Event()
 
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if mute.is_set():
+            if silenced.is_set():
                 return
             await together.wait()
             await serve_ok(seen, writer)
@@ -468,7 +468,7 @@
             used = {(await next_call(backend)).connection for _ in callers}
             together.set()
             assert [(await caller.answer()).code for caller in callers] == [200] * 3
-            mute.set()
+            silenced.set()
             assert (await callers[0].call("stock", "8" * 16, budget="900m")).code == 503
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 closed = {await backend.closed.get() for _ in used}
@@ -499,10 +499,10 @@
     """Over the limit a caller is refused, so that upstreams keep their share and EMFILE never occurs."""
 
     async def test() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await release.wait()
             await serve_ok(seen, writer)
 
         async with proxy({"s-1": Backend(behave)}, sockets=64) as node:
@@ -512,7 +512,7 @@
             for number in range(100, 150):
                 reply = await (await node.caller()).call("stock", f"{number:016x}")
                 assert reply.code == 503 and float(reply.headers["retry-after"]) > 0
-            free.set()
+            release.set()
             assert all([(await caller.answer()).code in (200, 503) for caller in callers])
             assert (await callers[0].call("stock", "9" * 16)).code == 200
 
@@ -523,10 +523,10 @@
     """Refusals by the connection limit and by the limit of open calls have no Retry-After of their own."""
 
     async def test() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await release.wait()
             await serve_ok(seen, writer)
 
         limits = {**SETTINGS["policy_limits"], "retry_after": False, "most_held": 40}
@@ -537,16 +537,16 @@
             reply = await (await node.caller()).call("stock", "a" * 16)
             assert reply.code == 503 and reply.body == b"no room for this connection\n"
             assert "retry-after" not in reply.headers
-            free.set()
+            release.set()
         limits["most_held"] = 1
-        free.clear()
+        release.clear()
         async with proxy({"s-1": Backend(behave)}, policy_limits=limits) as node:
             first, second = await node.caller(), await node.caller()
             first.send("canje", "b" * 16, budget="9000m")
             reply = await second.call("canje", "c" * 16)
             assert reply.code == 503 and reply.body == b"too many calls\n"
             assert "retry-after" not in reply.headers
-            free.set()
+            release.set()
 
     run(test())
 
@@ -558,10 +558,10 @@
     """
 
     async def test() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await release.wait()
             await serve_ok(seen, writer)
 
         limits = {**SETTINGS["policy_limits"], "most_held": 40}
@@ -574,7 +574,7 @@
             refusals = [await caller.answer() for caller in callers[30:]]
             assert {answer.code for answer in refusals} == {503}
             assert {answer.body for answer in refusals} == {b"no room for this connection\n"}
-            free.set()
+            release.set()
             assert [(await caller.answer()).code for caller in callers[:9]] == [200] * 9
 
     run(test())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -103,10 +103,10 @@
 
 def test_a_reload_during_the_shutdown_does_not_end_it() -> None:
     async def test() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def behave(seen: object, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await release.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         backend, new = Backend(behave), await Discovery().start()
@@ -118,7 +118,7 @@
             assert await idle.closed_by_proxy()
             node.reload(discovery=new.address)
             assert await next_request(new) == FIRST_WATCH
-            free.set()
+            release.set()
             assert (await caller.answer()).code == 200
             assert await node.exit_code() == 0
 
