--- a/granitepoint/__main__.py
+++ b/granitepoint/__main__.py
@@ -84,7 +84,9 @@
     driver = Driver(config)
     over_limit_headers = driver.advice(NO_ROOM_ADVICE)
     server = Server(driver.effects, driver, config.sockets, config.memory_mb, over_limit_headers)
-    loop.add_signal_handler(signal.SIGHUP, reload, driver)  # installed before readiness is announced
+    loop.add_signal_handler(
+        signal.SIGHUP, reload, driver
+    )  # before the proxy is ready, and also during the shutdown
     driver.start()
     await server.listen(*config.listen)
     log.info("listening", address="{}:{}".format(*config.listen), ready=driver.ready())
@@ -109,7 +111,7 @@
 
 def run() -> int:
     """Runs one proxy; returns the exit code: 2 for an invalid configuration, 1 for another start error."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # load() reads the current file anyway
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until serve() handles it; load() reads the new file anyway
     try:
         config = load(os.environ)
         logs.configure(sys.stderr, *config.log_options)
