--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -76,7 +76,7 @@
 
 
 def parse_seed(text: object) -> int:
-    """Parses a seed: a string of hexadecimal digits, or an integer, of at most 256 bits. Raises ValueError."""
+    """Parses a seed: a string of hexadecimal digits, or an integer, at most 256 bits. Raises ValueError."""
     seed = int(text, 16) if isinstance(text, str) else int(str(text))
     if abs(seed) >= MAX_SEED:
         raise ValueError("seed is longer than 256 bits")
