--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -24,9 +24,9 @@
 from granitepoint.net.config import Address
 from granitepoint.net.discovery_channel import Channel, classify_failure
 from granitepoint.net.listing import Listing, read_listing
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 
-log = Events(__name__)
+log = EventLogger(__name__)
 
 RENEW_AFTER = 18.0  # seconds without an answer after which a watch is opened anew: it may be dead
 HOLD_MS = 25_000  # for which discovery may hold a watch; what a dead one misses counts as notified 2 s later
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -22,7 +22,7 @@
 from granitepoint.net.config import Config, ConfigError
 from granitepoint.net.discovery import DiscoveryClient
 from granitepoint.net.listing import Listing, read_listing
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 from granitepoint.net.server import Headers, Reply, Request
 from granitepoint.net.upstream import (
     HOP_BY_HOP_HEADERS,
@@ -34,7 +34,7 @@
     Upstreams,
 )
 
-log = Events(__name__)
+log = EventLogger(__name__)
 
 # Seconds before the caller's deadline at which the answer of a call leaves at the latest. The maximum applies
 # when the event loop lags.
@@ -129,7 +129,7 @@
         self.flush_handle: asyncio.Handle | None = None
         self.last_flush_at = 0.0
         self.shutdown_deadline = math.inf  # monotonic; all calls are answered by then when the process stops
-        self.debug_enabled = log.debugging  # log lines for each request are wanted
+        self.debug_enabled = log.debug_enabled  # log lines for each request are wanted
         self.counts: Counter[str] = Counter()  # events and outcomes since the last statistics line
         self.loop_lag = 0.0  # seconds; decaying maximum of the delay of timers
         self.on_drained: Callable[[], None] | None = None
@@ -301,7 +301,7 @@
         self.was_ready = self.was_ready or lease.valid(now) or now > self.started_at + READY_TIMEOUT
         return self.was_ready and self.upstreams.ready
 
-    def opened(self, request: Request, reply: Reply) -> OpenCall | None:
+    def on_request(self, request: Request, reply: Reply) -> OpenCall | None:
         """Accepts a request for the balancer. Returns None if it was answered at once with an error."""
         if request.id in self.active_ids:
             # An earlier request with this id is still in progress: a second copy could run at the same time.
@@ -320,7 +320,7 @@
         stated_budget = min(request.budget, self.deadlines[request.cls])
         max_margin = MAX_MARGIN_SHARE * stated_budget
         margin = min(MAX_ANSWER_MARGIN, min(MIN_ANSWER_MARGIN, max_margin) + 2 * self.loop_lag)
-        deadline = request.came + stated_budget - margin
+        deadline = request.received_at + stated_budget - margin
         call = OpenCall(number, request, reply, min(deadline, self.shutdown_deadline))
         self.calls[number] = call
         self.active_ids.add(request.id)
@@ -334,7 +334,7 @@
                 tenant=request.tenant,
                 work=request.work,
                 resent=request.resent,
-                key=request.subject,
+                key=request.session_id,
                 stated=stated_budget,
             )
         )
@@ -348,7 +348,7 @@
         wait = min(wait, self.settings.max_wait_advice) if self.settings.may_advise_wait else 0.0
         return ((b"retry-after", b"%.3f" % wait),) if wait > 0 else ()
 
-    def left(self, call: OpenCall) -> None:
+    def on_disconnect(self, call: OpenCall) -> None:
         """The caller has closed its connection before it got an answer."""
         if call.open:
             if self.debug_enabled:
@@ -415,8 +415,8 @@
             )
 
         def may_start() -> bool:
-            if call.open and call.reply.gone():
-                self.left(call)
+            if call.open and call.reply.peer_closed():
+                self.on_disconnect(call)
             # The list may have expired during the connect, or while this process was stalled.
             return call.open and upstream.serving and self.balancer.list_lease.valid(time.monotonic())
 
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -11,7 +11,7 @@
 
 from granitepoint.interface import ServerEntry, ServerState
 from granitepoint.membership.start_times import StartTimes
-from granitepoint.net.config import Address, address
+from granitepoint.net.config import Address, parse_address
 
 MS_PER_SECOND = 1000
 
@@ -97,4 +97,4 @@
     )
     if not math.isfinite(entry.weight):
         raise ValueError("a weight is not finite")
-    return ListedBackend(address(item["address"]), entry)
+    return ListedBackend(parse_address(item["address"]), entry)
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -16,9 +16,9 @@
 from granitepoint.interface import ServerState, Status
 from granitepoint.net.config import Address
 from granitepoint.net.listing import Listing
-from granitepoint.net.logs import Events
+from granitepoint.net.logs import EventLogger
 
-log = Events(__name__)
+log = EventLogger(__name__)
 
 MAX_BODY_BYTES = 256 * 1024
 MAX_HEADER_BYTES = 32 * 1024  # headers of an answer, together with all 1xx answers before it
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -15,7 +15,7 @@
 
 import httptools
 import pytest
-from netkit import PATIENCE, Backend, Seen, proxy, response, run
+from netkit import TEST_TIMEOUT_S, Backend, ReceivedRequest, proxy, response, run
 
 from granitepoint.interface import ServerEntry, ServerState, Status
 from granitepoint.net import upstream as up
@@ -57,14 +57,14 @@
         reply = await caller.call("canje", "a" * 16, budget="5000m")
         assert reply.code == 502 and "retry-after" not in reply.headers
         assert asyncio.get_running_loop().time() - started < 1.5
-        assert backend.count == 1
-        async with asyncio.timeout(PATIENCE):
+        assert backend.call_count == 1
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await backend.closed.get()
 
 
 @pytest.mark.parametrize("malformed", MALFORMED_ANSWERS.values(), ids=MALFORMED_ANSWERS)
 def test_a_malformed_answer_ends_its_attempt_at_once(malformed: bytes) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(malformed)
 
     run(assert_attempt_fails_at_once(Backend(behave)))
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize(("start", "repeated"), ENDLESS_ANSWERS.values(), ids=ENDLESS_ANSWERS)
 def test_an_answer_without_end_is_cut_off(start: bytes, repeated: bytes) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(start)
         with contextlib.suppress(ConnectionError):
             while True:
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(("answer", "reused"), VALID_ANSWERS.values(), ids=VALID_ANSWERS)
 def test_a_valid_answer_is_served_without_the_data_that_follows_it(answer: bytes, reused: bool) -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
 
         backend = Backend(behave)
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("blank", [b"", b" "])
 def test_an_answer_may_end_with_its_connection_if_it_says_so(blank: bytes) -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Connection: close" + blank + b"\r\n\r\nme")
             await writer.drain()
             writer.close()
@@ -167,16 +167,16 @@
                 up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, finished.put_nowait)
             )
 
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             if not answers_before:
-                monkeypatch.setattr(up, "LAST_BYTE_DELAY", PATIENCE)  # it breaks before the last byte
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY", TEST_TIMEOUT_S)  # it breaks before the last byte
             start()
             backend, _ = await loop.sock_accept(listener)
             for _ in range(answers_before):
                 await receive_request(backend)
                 backend.sendall(response(200, b"first"))
                 assert (await finished.get()).body == b"first"
-                monkeypatch.setattr(up, "LAST_BYTE_DELAY", PATIENCE)
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY", TEST_TIMEOUT_S)
                 start()
             assert await loop.sock_recv(backend, 1000)
             monkeypatch.setattr(up, "LAST_BYTE_DELAY", 0.001)
@@ -216,7 +216,7 @@
             )
             return (await finished.get()).idle_for
 
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await idle_time_of_next_exchange(5.0) == 0.0
             owner.by_id[1].idle[0].idle_since -= 4.0
             idle_for = await idle_time_of_next_exchange(5.0)
@@ -255,7 +255,7 @@
             request = b"GET /stock HTTP/1.1\r\n\r\n"
             owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, done))
 
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             start()
             backend, _ = await loop.sock_accept(listener)
             await receive_request(backend)
@@ -293,7 +293,7 @@
         finished: asyncio.Queue[up.Exchange] = asyncio.Queue()
         request = b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
         owner.start(up.Exchange(owner.by_id[1], lambda _: request, 5.0, lambda: True, finished.put_nowait))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert (await finished.get()).status is Status.OK
         await backend.stop()
 
@@ -325,7 +325,7 @@
         owner.apply(Listing(1, True, [ListedBackend(listener.getsockname(), entry)]))
         finished: asyncio.Queue[up.Exchange] = asyncio.Queue()
         request = b"GET /stock HTTP/1.1\r\n\r\n"
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for body in (b"old", b"new"):
                 upstream = owner.by_id[1]
                 owner.start(up.Exchange(upstream, lambda _: request, 5.0, lambda: True, finished.put_nowait))
@@ -360,7 +360,7 @@
 
         request = b"GET / HTTP/1.1\r\n\r\n"
         owner.start(up.Exchange(owner.by_id[1], lambda _: request, 0.05, lambda: True, done))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             connection = await finished
             while connection.transport is not None:
                 await asyncio.sleep(0)
@@ -377,7 +377,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"].startswith("dead"):
                 writer.transport.abort()
             if seen.headers["x-call-id"].startswith("hold"):
@@ -391,18 +391,18 @@
                 for position, caller in enumerate(callers):
                     caller.send("canje", f"{number:015x}{position}")
                 assert [(await caller.answer()).code for caller in callers] == [200] * 4
-            before = [backend.count for backend in backends.values()]
+            before = [backend.call_count for backend in backends.values()]
             assert (await callers[0].call("canje", "dead" + "0" * 12)).code == 502
             resetting_backend = next(
-                b for b, count in zip(backends.values(), before, strict=True) if b.count > count
+                b for b, count in zip(backends.values(), before, strict=True) if b.call_count > count
             )
-            count = resetting_backend.count
+            count = resetting_backend.call_count
             for number, caller in enumerate(callers):
                 caller.send("canje", f"hold{number:012x}", budget="5000m")
-            async with asyncio.timeout(PATIENCE):
-                while sum(backend.count for backend in backends.values()) < sum(before) + 5:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while sum(backend.call_count for backend in backends.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
-            assert resetting_backend.count > count
+            assert resetting_backend.call_count > count
             release.set()
             assert [(await caller.answer()).code for caller in callers] == [200] * 4
 
@@ -416,7 +416,7 @@
     async def test() -> None:
         rejected = 0
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             nonlocal rejected
             if seen.target.startswith("/canje"):
                 rejected += 1
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -10,10 +10,21 @@
 from typing import Any
 
 import pytest
-from netkit import GRADES, PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
+from netkit import (
+    GRADES,
+    TEST_TIMEOUT_S,
+    Backend,
+    Caller,
+    Proxy,
+    ReceivedRequest,
+    next_call,
+    proxy,
+    run,
+    serve_ok,
+)
 
 from granitepoint.interface import Effect
-from granitepoint.net.logs import LINES, Sparse
+from granitepoint.net.logs import MAX_LINES_PER_EVENT, RateLimitFilter
 from granitepoint.net.server import ClientConnection, Server
 
 HEAD = b" HTTP/1.1\r\nHost: x\r\nX-Call-Id: 0011223344556677\r\nX-Budget: 500m\r\n"
@@ -26,7 +37,7 @@
     code = 0
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         code = (await caller.answer()).code
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         with contextlib.suppress(ConnectionError):
             assert await caller.reader.read() == b""
     return code
@@ -114,7 +125,7 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
             await serve_ok(seen, writer)
 
@@ -124,7 +135,7 @@
             old, silent = await node.caller(), await node.caller()
             old.send("canje", "a" * 16, budget="6000m")
             await next_call(backend)
-            assert await silent.ended()  # the bound has passed
+            assert await silent.closed_by_proxy()  # the bound has passed
             free.set()
             assert (await old.answer()).code == 200
             assert (await old.call("canje", "b" * 16)).code == 200
@@ -150,7 +161,7 @@
             else:
                 raise AssertionError("nobody was served")
             assert most <= 256 * 0.6  # the upstreams' two fifths are free
-            ends = [Caller(*pair).ended() for pair in opened]
+            ends = [Caller(*pair).closed_by_proxy() for pair in opened]
             async with asyncio.timeout(3.0):
                 assert all(await asyncio.gather(*ends))
             assert node.process.returncode is None
@@ -201,7 +212,7 @@
             caller.writer.write(b"POST /canje" + HEAD + rest)
             assert await told(caller) == 400
             await serves_on(node)
-        assert backend.count == 1  # the last one
+        assert backend.call_count == 1  # the last one
 
     run(test())
 
@@ -255,14 +266,14 @@
         backend = Backend()
         async with proxy({"s-1": backend}) as node:
             assert (await (await node.caller()).raw(b"GET /stock" + HEAD + spoil + b"\r\n")).code == 400
-        assert backend.count == 0
+        assert backend.call_count == 0
 
     run(test())
 
 
 def test_no_call_is_held_beyond_the_deadline_of_its_class() -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             return
 
         backend = Backend(behave)
@@ -278,11 +289,11 @@
 def test_a_closed_connection_leaves_no_cycle_and_no_entry_behind() -> None:
     async def test() -> None:
         class Handler:
-            def opened(self, request: Any, reply: Any) -> object:
+            def on_request(self, request: Any, reply: Any) -> object:
                 reply.answer(200, (), b"")
                 return None
 
-            def left(self, call: Any) -> None: ...
+            def on_disconnect(self, call: Any) -> None: ...
 
             def ready(self) -> bool:
                 return True
@@ -292,21 +303,21 @@
         caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
         assert (await caller.call("stock", "a" * 16)).code == 200
         connection: ClientConnection = next(iter(server.connections))
-        assert connection.parser is not None and connection in server.kept
+        assert connection.parser is not None and connection in server.idle
         caller.writer.close()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while server.connections:
                 await asyncio.sleep(0)
         assert connection.parser is None
-        assert not (server.fresh or server.kept or server.leaving)
+        assert not (server.awaiting_request or server.idle or server.closing)
         server.stop_listening()
 
     run(test())
 
 
 def test_a_flood_of_faults_is_no_flood_of_lines() -> None:
-    sparse = Sparse()
+    sparse = RateLimitFilter()
     record = logging.LogRecord("x", logging.WARNING, "", 0, "fault %d", (1,), None)
     other = logging.LogRecord("x", logging.WARNING, "", 0, "other", (), None)
-    assert sum(bool(sparse.filter(record)) for _ in range(10 * LINES)) == LINES
+    assert sum(bool(sparse.filter(record)) for _ in range(10 * MAX_LINES_PER_EVENT)) == MAX_LINES_PER_EVENT
     assert sparse.filter(other)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 
 import pytest
 from netkit import (
-    PATIENCE,
+    TEST_TIMEOUT_S,
     Backend,
     Discovery,
     endpoint,
@@ -78,7 +78,7 @@
         address = server.sockets[0].getsockname()[:2]
         client = net.DiscoveryClient(address, 1, self.lists.put_nowait, self._failed, Random(1), pushed)
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 yield client
         finally:
             client.stop()
@@ -164,7 +164,7 @@
             client.watch(True)
             silent = await peer.next("/v1/servers?from=1&")
             second = await peer.next("/v1/servers?from=1&")
-            set_watch_timeouts(monkeypatch, PATIENCE)
+            set_watch_timeouts(monkeypatch, TEST_TIMEOUT_S)
             second.answer(2)
             await peer.next("/v1/servers?from=2&")
             silent.writer.transport.abort()
@@ -191,7 +191,7 @@
             silent = await peer.next("/v1/servers?from=1&hold_ms=")
             second = await peer.next("/v1/servers?from=1&hold_ms=")
             assert second.connection != silent.connection
-            set_watch_timeouts(monkeypatch, PATIENCE)
+            set_watch_timeouts(monkeypatch, TEST_TIMEOUT_S)
             second.answer(2, endpoint("s-1", ADDRESS, "Terminating"))
             assert states(await peer.lists.get()) == ["draining"]
             await peer.next("/v1/servers?from=")
@@ -228,7 +228,7 @@
         async with peer.client() as client:
             client.watch(True)
             first = await peer.next("/v1/servers?from=1&")
-            set_watch_timeouts(monkeypatch, PATIENCE)
+            set_watch_timeouts(monkeypatch, TEST_TIMEOUT_S)
             (await peer.next("/v1/servers?from=1&")).fail()
             (await peer.next("/v1/servers?from=1&")).fail()
             (await peer.next("/v1/servers?from=1&")).answer(2)
@@ -255,7 +255,7 @@
             silent = await peer.next(FIRST_TARGET)
             second = await peer.next(FIRST_TARGET)
             assert silent.connection != second.connection
-            monkeypatch.setattr(net, "MOVE_RETRY_AFTER", PATIENCE)
+            monkeypatch.setattr(net, "MOVE_RETRY_AFTER", TEST_TIMEOUT_S)
             second.answer(9, endpoint("s-1", ADDRESS), snapshot=True)
             while (await peer.calls.get()).target == FIRST_TARGET:
                 pass  # a third call may have been sent in the meantime
@@ -330,15 +330,15 @@
         discovery = await Discovery().start()
         draining, added = Backend(), await Backend().start()
         async with proxy({"s-1": draining}, discovery, discovery="push") as node:
-            async with asyncio.timeout(PATIENCE):
-                await discovery.until_asked(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
-                discovery.put(
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await discovery.wait_for_request(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
+                discovery.publish(
                     2, endpoint("s-1", draining.address, "Terminating"), endpoint("s-2", added.address)
                 )
-                await discovery.until_asked("/v1/servers?from=2&")
+                await discovery.wait_for_request("/v1/servers?from=2&")
             assert (await (await node.caller()).call("canje", "1" * 16)).code == 200
             await next_call(added)
-            assert draining.count == 0
+            assert draining.call_count == 0
         await added.stop()
 
     run(test())
@@ -367,7 +367,7 @@
     """Changes count as notified 4 s after SIGHUP, and a call that is repeated is queued from the start. The
     first watch of the balancer comes at a random time within 2 s of the start, so possibly while that call is
     open."""
-    monkeypatch.setattr(net, "MOVE_RETRY_AFTER", PATIENCE)
+    monkeypatch.setattr(net, "MOVE_RETRY_AFTER", TEST_TIMEOUT_S)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -503,7 +503,7 @@
             if scenario == "renewing":  # an earlier call of the watch is still open
                 client._watch_calls[asyncio.ensure_future(client.failed.wait())] = Channel()
             client_by_task[client._watch_task] = client
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for client in clients:
                 await client.failed.wait()
         for client in clients:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -21,7 +21,7 @@
     def answer(self, code: int, headers: Any, body: bytes) -> None:
         raise AssertionError("nothing is answered here")
 
-    def gone(self) -> bool:
+    def peer_closed(self) -> bool:
         return False
 
 
@@ -31,12 +31,12 @@
         cls="safe",
         budget=1.9,
         tenant="",
-        subject="",
+        session_id="",
         work=0.0,
         resent=False,
         head=b"",
         body=b"",
-        came=received_at,
+        received_at=received_at,
     )
 
 
@@ -52,7 +52,7 @@
         for number, (budget, expected) in enumerate(expected_budgets.items()):
             client_request = request(100.0)
             client_request.id, client_request.budget = b"%d" % number, budget
-            driver.opened(client_request, UnusedReply())
+            driver.on_request(client_request, UnusedReply())
             arrival = driver.events[-1]
             assert isinstance(arrival, Arrival) and arrival.budget == pytest.approx(expected)
         for call in driver.calls.values():
@@ -72,13 +72,13 @@
         nowhere = ("127.0.0.1", 9)
         config = Config("n0", nowhere, nowhere, 1, sockets=256, memory_mb=64.0, known={}, settings=settings())
         driver = Driver(config)
-        driver.opened(request(time.monotonic()), UnusedReply())
+        driver.on_request(request(time.monotonic()), UnusedReply())
         first = driver.events[-1]
         assert isinstance(first, Arrival) and first.budget > 1.5
         assert first.stated == 1.9
         delayed = request(time.monotonic() - 0.4)  # it was unread while this process was stalled
         delayed.id = b"3"
-        driver.opened(delayed, UnusedReply())
+        driver.on_request(delayed, UnusedReply())
         delayed_arrival = driver.events[-1]
         assert (
             isinstance(delayed_arrival, Arrival)
@@ -88,7 +88,7 @@
         driver.shutdown_deadline = time.monotonic() + 0.5
         second = request(time.monotonic())
         second.id = b"2"
-        driver.opened(second, UnusedReply())
+        driver.on_request(second, UnusedReply())
         last = driver.events[-1]
         assert isinstance(last, Arrival) and last.budget <= 0.5
         for call in driver.calls.values():
