--- a/granitepoint/cli/__init__.py
+++ b/granitepoint/cli/__init__.py
@@ -1,23 +1,23 @@
-"""The commands beside `run`. Only they need the libraries of the `cli` extra; `run` imports none of this."""
+"""The commands other than `run`. They need the libraries of the `cli` extra, so `run` never imports this."""
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Sequence
 
-BAD_INPUT = 2  # exit code of all that the user can mend
+EXIT_BAD_INPUT = 2  # the arguments, a file or the installation must be corrected
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs one command; returns its exit code."""
+    """Runs one command with its arguments and returns the exit code."""
     try:
         from granitepoint.cli import app
-    except ModuleNotFoundError as fault:
-        if not fault.name or fault.name.startswith("granitepoint"):
+    except ModuleNotFoundError as error:
+        if not error.name or error.name.startswith("granitepoint"):
             raise
         print(
-            f"granitepoint: commands other than run need {fault.name}: pip install 'granitepoint[cli]'",
+            f"granitepoint: commands other than run need {error.name}: pip install 'granitepoint[cli]'",
             file=sys.stderr,
         )
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     return app.main(arguments)
--- a/granitepoint/cli/app.py
+++ b/granitepoint/cli/app.py
@@ -1,9 +1,12 @@
-"""The commands. A fault of the user's is one plain line on standard error and exit code 2."""
+"""The commands of the command line.
+
+A user's mistake is reported as one line on standard error, without a traceback, and exit code 2.
+"""
 
 from __future__ import annotations
 
 import io
-import json as jsons
+import json as json_module
 import os
 import platform
 import sys
@@ -11,85 +14,87 @@
 from collections.abc import Iterable, Sequence
 from contextlib import suppress
 from importlib.metadata import PackageNotFoundError
-from importlib.metadata import version as version_of
+from importlib.metadata import version as installed_version
 from pathlib import Path
 from typing import Annotated, Any, Literal
 
 import cyclopts
 import msgspec
 
-from granitepoint.cli import BAD_INPUT
-from granitepoint.cli import check as checking
-from granitepoint.cli import explain as explaining
-from granitepoint.cli import schema as schemas
+from granitepoint.cli import EXIT_BAD_INPUT
+from granitepoint.cli import check as check_module
+from granitepoint.cli import explain as explain_module
+from granitepoint.cli import schema as schema_module
 from granitepoint.net.config import ConfigError, load
 
-FAILED = 1
-CLOSED = 141  # exit code where nobody reads the output any more
-UNITS = (
+EXIT_FAILED = 1
+EXIT_OUTPUT_CLOSED = 141  # the output is no longer read; shells report 128 + SIGPIPE (13) likewise
+HELP_EPILOGUE = (
     "Units: times are in seconds (s), rates per second (1/s), memory in MB of 2^20 bytes, bodies in KB of "
-    "2^10 bytes; a share is from 0 to 1; worth and prices are in points. Exit codes: 0 done, 1 failed, "
-    "2 something that you can mend: a wrong argument, or a file that can't be used."
+    "2^10 bytes; a share is from 0 to 1; worth and prices are in points. Exit codes: 0 success, 1 failure, "
+    "2 something to correct: a wrong argument, or a file that can't be used."
 )
 
 app = cyclopts.App(
     name="granitepoint",
     help="A load balancer for services that call services.",
-    help_epilogue=UNITS,
+    help_epilogue=HELP_EPILOGUE,
     version=lambda: _version(),
 )
 app.register_install_completion_command(add_to_startup=False)
 
-Config = Annotated[Path, cyclopts.Parameter(env_var="EDGE_CONFIG", help="the JSON file")]
-Json = Annotated[bool, cyclopts.Parameter(negative="", help="print JSON instead of text")]
+ConfigPath = Annotated[Path, cyclopts.Parameter(env_var="EDGE_CONFIG", help="the JSON file")]
+JsonFlag = Annotated[bool, cyclopts.Parameter(negative="", help="print JSON instead of text")]
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs one command; returns its exit code."""
+    """Runs one command with its arguments and returns the exit code."""
     for stream in (sys.stdout, sys.stderr):
         if isinstance(stream, io.TextIOWrapper):
             stream.reconfigure(errors="backslashreplace")
     try:
-        code = app(arguments, exit_on_error=False, print_error=False, result_action="return_value")
+        exit_code = app(arguments, exit_on_error=False, print_error=False, result_action="return_value")
         print(end="", flush=True)
-    except (cyclopts.CycloptsError, checking.FileError, ConfigError) as fault:
-        return _refuse(str(fault))
+    except (cyclopts.CycloptsError, check_module.FileError, ConfigError) as error:
+        return _print_error(str(error))
     except BrokenPipeError:
-        _give_up_output()
-        return CLOSED
-    except OSError as fault:
-        _give_up_output()
-        _refuse(str(fault))
-        return FAILED
-    return code if isinstance(code, int) else 0
+        _discard_output()
+        return EXIT_OUTPUT_CLOSED
+    except OSError as error:
+        _discard_output()
+        _print_error(str(error))
+        return EXIT_FAILED
+    return exit_code if isinstance(exit_code, int) else 0
 
 
-def _give_up_output() -> None:
-    """What could not be written must not be tried, and told of, once more at the exit."""
+def _discard_output() -> None:
+    """Redirects standard output to /dev/null, or the flush at exit would fail and be reported again."""
     with suppress(OSError, ValueError):
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
 
-def _plain(text: str) -> str:
-    """What a file or an argument holds, on one line and without control characters."""
+def _escape_unprintable(text: str) -> str:
+    """Escapes control characters, line ends among them, in text that comes from a file or an argument."""
     return "".join(char if char.isprintable() else ascii(char)[1:-1] for char in text)
 
 
-def _refuse(message: str) -> int:
-    print("granitepoint:", _plain(" ".join(message.split())), file=sys.stderr)
-    return BAD_INPUT
+def _print_error(message: str) -> int:
+    """Prints a message as one line on standard error and returns the exit code for bad input."""
+    print("granitepoint:", _escape_unprintable(" ".join(message.split())), file=sys.stderr)
+    return EXIT_BAD_INPUT
 
 
 def _version() -> str:
-    """Of the package as installed, else of the source tree that this file is in."""
+    """Returns the version of the installed package, or else of the source tree that holds this file."""
     try:
-        return version_of("granitepoint")
+        return installed_version("granitepoint")
     except PackageNotFoundError:
         path = Path(__file__).parent.parent.parent / "pyproject.toml"
         return str(tomllib.loads(path.read_text(encoding="utf-8"))["project"]["version"])
 
 
-def _text(value: object) -> str:
+def _format_value(value: object) -> str:
+    """Formats a value for the tables of `check` and `explain`; None means that there is no limit."""
     if value is None:
         return "no limit"
     if isinstance(value, bool):
@@ -101,90 +106,109 @@
     return str(value) or "-"
 
 
-def _figure(value: object, unit: str) -> str:
-    return f"{_text(value)} {unit}".rstrip() if value is not None else _text(value)
+def _format_with_unit(value: object, unit: str) -> str:
+    return f"{_format_value(value)} {unit}".rstrip() if value is not None else _format_value(value)
 
 
 def _print_table(rows: Sequence[Sequence[str]]) -> None:
-    plain = [[_plain(cell) for cell in row] for row in rows]
-    widths = [max(map(len, column)) for column in zip(*plain, strict=True)]
-    for row in plain:
+    escaped_rows = [[_escape_unprintable(cell) for cell in row] for row in rows]
+    widths = [max(map(len, column)) for column in zip(*escaped_rows, strict=True)]
+    for row in escaped_rows:
         print("  " + "  ".join(map(str.ljust, row, widths)).rstrip())
 
 
 def _print_json(value: Any) -> None:
-    print(jsons.dumps(msgspec.to_builtins(value), indent=2))
+    print(json_module.dumps(msgspec.to_builtins(value), indent=2))
 
 
 @app.command
 def run(
     *,
     log_format: Annotated[
-        Literal["text", "json"], cyclopts.Parameter(env_var="EDGE_LOG_FORMAT", help="of a log line")
+        Literal["text", "json"], cyclopts.Parameter(env_var="EDGE_LOG_FORMAT", help="format of log lines")
     ] = "text",
     log_level: Annotated[
         Literal["debug", "info", "warning", "error"],
-        cyclopts.Parameter(env_var="EDGE_LOG_LEVEL", help="debug tells each request's own lines"),
+        cyclopts.Parameter(env_var="EDGE_LOG_LEVEL", help="debug also logs each request"),
     ] = "info",
 ) -> None:
-    """Start one proxy and keep to the foreground; the same as no command at all.
+    """Run one proxy in the foreground. This is also the default without a command.
 
-    EDGE_CONFIG names its file; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY come before what that says. SIGHUP
-    rereads the address of discovery, SIGTERM answers what was taken and ends.
+    EDGE_CONFIG names the configuration file; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its values.
+    SIGHUP rereads the address of discovery. SIGTERM starts a graceful shutdown: the proxy answers the
+    requests that it has accepted and exits.
     """
-    # The same process, but without what reads arguments: a proxy's memory is bounded and paid for.
-    logged = {"EDGE_LOG_FORMAT": log_format, "EDGE_LOG_LEVEL": log_level}
-    os.execve(sys.executable, [sys.executable, "-m", "granitepoint", "run"], {**os.environ, **logged})
+    # Replaces this process with one that has not imported the command-line libraries, because the memory of a
+    # proxy is limited and has a cost.
+    log_variables = {"EDGE_LOG_FORMAT": log_format, "EDGE_LOG_LEVEL": log_level}
+    os.execve(sys.executable, [sys.executable, "-m", "granitepoint", "run"], {**os.environ, **log_variables})
 
 
-def _findings(findings: Iterable[checking.Finding], kind: str) -> list[list[str]]:
+def _finding_rows(findings: Iterable[check_module.Finding], kind: str) -> list[list[str]]:
     return [[finding.path or "-", finding.message] for finding in findings if finding.kind == kind]
 
 
-def _refuse_faults(config: Path, reading: checking.Reading) -> int:
-    faults = _findings(reading.findings, checking.OUT_OF_RANGE)
-    if not faults:
+def _report_out_of_range(config: Path, result: check_module.CheckResult) -> int:
+    errors = _finding_rows(result.findings, check_module.OUT_OF_RANGE)
+    if not errors:
         return 0
-    more = f" (and {len(faults) - 1} more)" if faults[1:] else ""
-    return _refuse(f"{config}: out of range: {': '.join(faults[0])}{more}")
+    remainder = f" (and {len(errors) - 1} more)" if errors[1:] else ""
+    return _print_error(f"{config}: out of range: {': '.join(errors[0])}{remainder}")
 
 
 @app.command
-def check(config: Config, /, *, json: Json = False) -> int:
-    """Read a configuration as run does: print what would be in force and all that is wrong.
+def check(config: ConfigPath, /, *, json: JsonFlag = False) -> int:
+    """Check a configuration: print the values that run would use, and every problem.
 
-    Keys that are unknown or have no effect, and values hardly meant, are listed with their paths, and
-    are no fault. Each value out of range is one: exit code 2. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY come
-    first, as for run.
+    Unknown keys, keys without effect and doubtful values (accepted, but probably mistakes) are listed with
+    their paths and are not errors. A value out of range is an error: exit code 2. EDGE_NAME, EDGE_LISTEN and
+    EDGE_DISCOVERY override the file, as for run.
     """
-    reading = checking.read(checking.read_file(config), os.environ)
-    rows = [row for row in reading.rows if row.in_force]
+    result = check_module.check_content(check_module.read_file(config), os.environ)
+    rows = [row for row in result.rows if row.in_force]
     if json:
-        _print_json({"usable": reading.usable, "in_force": rows, "findings": reading.findings})
+        _print_json({"usable": result.usable, "in_force": rows, "findings": result.findings})
     else:
-        print(f"in force{'' if reading.usable else ', were the rest usable'}:")
-        _print_table([[row.path, _figure(row.value, row.unit), row.source] for row in rows] or [["-"]])
-        for kind in (checking.NO_EFFECT, checking.UNKNOWN, checking.DOUBTFUL, checking.OUT_OF_RANGE):
-            if found := _findings(reading.findings, kind):
+        print(f"in force{'' if result.usable else ' once the errors are corrected'}:")
+        _print_table(
+            [[row.path, _format_with_unit(row.value, row.unit), row.source] for row in rows] or [["-"]]
+        )
+        for kind in (
+            check_module.NO_EFFECT,
+            check_module.UNKNOWN,
+            check_module.DOUBTFUL,
+            check_module.OUT_OF_RANGE,
+        ):
+            if finding_rows := _finding_rows(result.findings, kind):
                 print(f"{kind}:")
-                _print_table(found)
-    return _refuse_faults(config, reading)
+                _print_table(finding_rows)
+    return _report_out_of_range(config, result)
 
 
 @app.command
-def explain(config: Config, /, *, json: Json = False) -> int:
-    """Print what a configuration means for a request: attempts, times, quotas, budgets and shares."""
-    reading = checking.read(checking.read_file(config), os.environ)
-    if not reading.usable:
-        return _refuse_faults(config, reading)
-    sections = explaining.explain(load({**os.environ, "EDGE_CONFIG": str(config)}))
+def explain(config: ConfigPath, /, *, json: JsonFlag = False) -> int:
+    """Explain the effect of a configuration: attempts, times, quotas, budgets, connections and memory."""
+    result = check_module.check_content(check_module.read_file(config), os.environ)
+    if not result.usable:
+        return _report_out_of_range(config, result)
+    sections = explain_module.explain(load({**os.environ, "EDGE_CONFIG": str(config)}))
     if json:
-        _print_json({part.title: {each.name: each.figure() for each in part.entries} for part in sections})
+        _print_json(
+            {
+                section.title: {entry.name: entry.as_json() for entry in section.entries}
+                for section in sections
+            }
+        )
         return 0
-    for part in sections:
-        if part.entries:
-            print(f"{_plain(part.title)}:")
-            _print_table([[each.name, _figure(each.value, each.unit), each.meaning] for each in part.entries])
+    for section in sections:
+        if section.entries:
+            print(f"{_escape_unprintable(section.title)}:")
+            _print_table(
+                [
+                    [entry.name, _format_with_unit(entry.value, entry.unit), entry.meaning]
+                    for entry in section.entries
+                ]
+            )
     return 0
 
 
@@ -193,22 +217,27 @@
     day: Path,
     /,
     *,
-    json: Annotated[Path | None, cyclopts.Parameter(help="file of the results, a record a line")] = None,
-    seed: Annotated[int | None, cyclopts.Parameter(help="in place of the day's own")] = None,
+    json: Annotated[
+        Path | None, cyclopts.Parameter(help="file for the results, one JSON record per line")
+    ] = None,
+    seed: Annotated[int | None, cyclopts.Parameter(help="random seed; overrides the one of the day")] = None,
 ) -> int:
-    """Play a day of the emulator in simulated time: a TOML file, or a day that the simulator drew (.json)."""
+    """Play a day (one scenario) of the emulator in simulated time.
+
+    DAY is a TOML file, or a day that the simulator generated (.json).
+    """
     try:
         from granitepoint.emulator.command import emulate as play
-    except ModuleNotFoundError as fault:
-        return _refuse_for("emulate", "fleet", fault)
+    except ModuleNotFoundError as error:
+        return _report_missing_library("emulate", "fleet", error)
     return play(day, json=json, seed=seed)
 
 
-def _refuse_for(command: str, extra: str, fault: ModuleNotFoundError) -> int:
-    """A library that is missing. Raises the fault where it is the program's own."""
-    if not fault.name or fault.name.startswith("granitepoint"):
-        raise fault
-    return _refuse(f"{command} needs {fault.name}: pip install 'granitepoint[{extra}]'")
+def _report_missing_library(command: str, extra: str, error: ModuleNotFoundError) -> int:
+    """Reports a missing library and the extra that has it. Raises `error` for a module of this package."""
+    if not error.name or error.name.startswith("granitepoint"):
+        raise error
+    return _print_error(f"{command} needs {error.name}: pip install 'granitepoint[{extra}]'")
 
 
 @app.command
@@ -217,21 +246,24 @@
     /,
     *,
     out: Annotated[
-        Path | None, cyclopts.Parameter(help="SQLite file of the results; FILE with .sqlite by default")
+        Path | None,
+        cyclopts.Parameter(help="SQLite file for the results; by default FILE with the suffix .sqlite"),
+    ] = None,
+    jobs: Annotated[
+        int | None, cyclopts.Parameter(help="days played in parallel; by default one per core")
     ] = None,
-    jobs: Annotated[int | None, cyclopts.Parameter(help="days played at a time; as many as cores")] = None,
 ) -> int:
-    """Play variants of the module and its settings on days of the emulator, and compare them in pairs.
+    """Play variants of the decision module and its settings on days of the emulator; compare them in pairs.
 
-    FILE crosses variants (a git revision, settings of the day) with days and seeds. What OUT holds already is
-    not played again; after a stop the rest is.
+    FILE combines each variant (a git revision, settings of the day) with each day and seed. Results that OUT
+    already holds are not computed again, so an interrupted experiment continues where it stopped.
     """
     if jobs is not None and jobs < 1:
-        return _refuse("experiment: jobs must be at least 1")
+        return _print_error("experiment: jobs must be at least 1")
     try:
         from granitepoint.experiments.command import experiment as play
-    except ModuleNotFoundError as fault:
-        return _refuse_for("experiment", "report", fault)
+    except ModuleNotFoundError as error:
+        return _report_missing_library("experiment", "report", error)
     return play(file, out, jobs)
 
 
@@ -240,49 +272,51 @@
     results: Path,
     /,
     *,
-    out: Annotated[Path | None, cyclopts.Parameter(help="folder; RESULTS without its ending")] = None,
+    out: Annotated[
+        Path | None, cyclopts.Parameter(help="output folder; by default RESULTS without its suffix")
+    ] = None,
 ) -> int:
-    """Write one HTML page and its plots from the results of an experiment."""
+    """Write an HTML page with plots from the results of an experiment."""
     try:
         from granitepoint.experiments.command import report as write
-    except ModuleNotFoundError as fault:
-        return _refuse_for("report", "report", fault)
+    except ModuleNotFoundError as error:
+        return _report_missing_library("report", "report", error)
     return write(results, out)
 
 
 @app.command(name="soak")
 def soak_command(
     *,
-    seeds: Annotated[str, cyclopts.Parameter(help="a seed, or the first and the last: 1-50")] = "1",
-    seconds: Annotated[float, cyclopts.Parameter(help="s of real time that each seed plays")] = 16.0,
-    proxies: Annotated[int, cyclopts.Parameter(help="real proxies of each seed")] = 3,
-    servers: Annotated[int, cyclopts.Parameter(help="stand-ins for servers of each seed")] = 6,
-    at_once: Annotated[int, cyclopts.Parameter(help="seeds played at a time")] = 4,
+    seeds: Annotated[str, cyclopts.Parameter(help="one seed, or a range such as 1-50")] = "1",
+    seconds: Annotated[float, cyclopts.Parameter(help="seconds of real time per seed")] = 16.0,
+    proxies: Annotated[int, cyclopts.Parameter(help="real proxies per seed")] = 3,
+    servers: Annotated[int, cyclopts.Parameter(help="test servers per seed")] = 6,
+    at_once: Annotated[int, cyclopts.Parameter(help="seeds played in parallel")] = 4,
 ) -> int:
-    """Play real proxies on loopback under drawn faults, and hold the rules against what others recorded."""
+    """Play real proxies on loopback under random faults, and check the rules on what their peers recorded."""
     try:
         from granitepoint.faults.command import parse_seeds, run_soak
-    except ModuleNotFoundError as fault:
-        return _refuse_for("soak", "fleet", fault)
+    except ModuleNotFoundError as error:
+        return _report_missing_library("soak", "fleet", error)
     try:
-        wanted = parse_seeds(seeds)
+        seed_list = parse_seeds(seeds)
     except ValueError:
-        return _refuse(f"soak: seeds are like 3 or 1-50, not {seeds!r}")
+        return _print_error(f"soak: seeds must be a number or a range, such as 3 or 1-50, not {seeds!r}")
     if seconds < 4 or proxies < 1 or servers < 3 or at_once < 1:
-        return _refuse("soak: at least 4 seconds, 1 proxy, 3 servers and 1 seed at once")
-    return run_soak(wanted, seconds, proxies, servers, at_once)
+        return _print_error("soak: needs at least 4 seconds, 1 proxy, 3 servers and 1 seed at once")
+    return run_soak(seed_list, seconds, proxies, servers, at_once)
 
 
 @app.command
 def schema() -> None:
-    """Print the JSON Schema of the configuration, as docs/config.schema.json holds it."""
-    print(schemas.published(), end="")
+    """Print the JSON Schema of the configuration, the content of docs/config.schema.json."""
+    print(schema_module.render_json_schema(), end="")
 
 
 @app.command
 def version() -> None:
-    """Print the versions of the package, Python and the libraries that the proxy runs on."""
+    """Print the versions of the package, Python and the libraries that the proxy uses."""
     print(f"granitepoint {_version()}")
     print(f"Python {platform.python_version()}")
     for package in ("uvloop", "httptools"):
-        print(f"{package} {version_of(package)}")
+        print(f"{package} {installed_version(package)}")
--- a/granitepoint/cli/check.py
+++ b/granitepoint/cli/check.py
@@ -1,4 +1,4 @@
-"""What a configuration file puts in force, and all that is wrong with it: `run` stops at the first fault."""
+"""Checks a configuration file: all values in force and all problems, where `run` stops at the first."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 from granitepoint.net.logs import chosen
 from granitepoint.net.server import BASE_MEMORY
 
-LARGEST = 64 << 20  # bytes of a file; a list of 100,000 servers takes a third of it
-DEEPEST = 5  # names in a path: one more than settings.grades.0.name has
-MOST_SHOWN, MOST_SAID = 60, 200  # characters of a value in a message, and of one of the reader's own messages
+MAX_FILE_BYTES = 64 << 20  # a list of 100,000 servers takes a third of it
+MAX_PATH_NAMES = 5  # names in a settings path: one more than settings.grades.0.name has
+MAX_VALUE_CHARS, MAX_ERROR_CHARS = 60, 200  # longest value, and longest text of an exception, in a message
 UNKNOWN, NO_EFFECT, DOUBTFUL, OUT_OF_RANGE = "unknown", "no effect", "doubtful", "out of range"
+# `run` takes an empty string for the default in these settings.
 EMPTY_IS_DEFAULT = ("settings.weights", "settings.worth_by", "settings.report.via")
 
 
@@ -33,87 +34,96 @@
 
 
 class Row(Struct, omit_defaults=True):
-    """A value as read. `source`: "file", "default", "process limit" or the variable that comes first."""
+    """One value of the configuration.
+
+    `source` is "file", "default", "process limit" or the environment variable that overrides the file.
+    """
 
     path: str
     value: Any
     unit: str
     source: str
-    in_force: bool = True  # changes something
+    in_force: bool = True  # False: the value has no effect on the proxy
 
 
 class Finding(Struct):
-    kind: str  # UNKNOWN, NO_EFFECT, DOUBTFUL (in range, but hardly meant) or OUT_OF_RANGE
+    """A problem with one value or key of the configuration."""
+
+    kind: str  # UNKNOWN, NO_EFFECT, DOUBTFUL (in range, but probably a mistake) or OUT_OF_RANGE
     path: str
     message: str
 
 
-class Reading(Struct):
-    """What a file says. Rows hold each value that could be read, also one without effect."""
+class CheckResult(Struct):
+    """The result of a check. `rows` holds each value that could be read, including those without effect."""
 
     rows: list[Row]
     findings: list[Finding]
 
     @property
     def usable(self) -> bool:
+        """Whether `run` would start with this configuration."""
         return not any(finding.kind == OUT_OF_RANGE for finding in self.findings)
 
 
 def read_file(path: Path) -> Any:
-    """The JSON of a file. Raises FileError."""
+    """Returns the parsed JSON content of a file. Raises FileError."""
     try:
         with path.open("rb") as file:
-            raw = file.read(LARGEST + 1)
-        if len(raw) > LARGEST:
-            raise FileError(f"{path}: larger than {LARGEST >> 20} MB")
+            raw = file.read(MAX_FILE_BYTES + 1)
+        if len(raw) > MAX_FILE_BYTES:
+            raise FileError(f"{path}: larger than {MAX_FILE_BYTES >> 20} MB")
         return json.loads(raw.decode("utf-8"))
-    except OSError as fault:
-        raise FileError(f"{path}: {fault.strerror or fault}") from None
-    except UnicodeDecodeError as fault:
-        raise FileError(f"{path}: not UTF-8: byte {fault.start}") from None
-    except json.JSONDecodeError as fault:
-        raise FileError(f"{path}: not JSON: {fault}") from None
+    except OSError as error:
+        raise FileError(f"{path}: {error.strerror or error}") from None
+    except UnicodeDecodeError as error:
+        raise FileError(f"{path}: not UTF-8: byte {error.start}") from None
+    except json.JSONDecodeError as error:
+        raise FileError(f"{path}: not JSON: {error}") from None
     except RecursionError:
         raise FileError(f"{path}: nested too deeply") from None
-    except ValueError as fault:  # a path or a number that can't be
-        raise FileError(f"{path}: {fault}") from None
+    except ValueError as error:  # a null byte in the path, or a number with too many digits
+        raise FileError(f"{path}: {error}") from None
 
 
-def shown(value: object) -> str:
-    """A value in a message: one short line."""
+def abbreviate(value: object) -> str:
+    """Formats a value for a message: one line of ASCII, cut to MAX_VALUE_CHARS characters."""
     try:
         text = ascii(value)
     except RecursionError:
-        return "what is nested so deeply"
-    return text if len(text) <= MOST_SHOWN else text[:MOST_SHOWN] + "..."
+        return "a deeply nested value"
+    return text if len(text) <= MAX_VALUE_CHARS else text[:MAX_VALUE_CHARS] + "..."
+
 
+def _error_text(error: Exception) -> str:
+    return " ".join(str(error)[:MAX_ERROR_CHARS].split())
 
-def _said(fault: Exception) -> str:
-    return " ".join(str(fault)[:MOST_SAID].split())
 
+def _parse_value(info: types.Type, text: str, in_microseconds: bool) -> Any:
+    """Parses the text of a setting as `run` does. Raises ValueError.
 
-def _read_text(info: types.Type, text: str, micro: bool) -> Any:
-    """A setting as `run` reads it. Raises ValueError."""
+    `in_microseconds`: the text is a number of microseconds; the result is in seconds.
+    """
     if isinstance(info, types.IntType):
         try:
             return int(text)
         except ValueError:
-            raise ValueError(f"{shown(text)} is not a whole number") from None
+            raise ValueError(f"{abbreviate(text)} is not a whole number") from None
     if isinstance(info, types.FloatType):
         try:
             value = float(text)
         except ValueError:
-            raise ValueError(f"{shown(text)} is not a number") from None
+            raise ValueError(f"{abbreviate(text)} is not a number") from None
         if not math.isfinite(value):
-            raise ValueError(f"{shown(text)} is not finite")
-        return value / 1e6 if micro else value
+            raise ValueError(f"{abbreviate(text)} is not finite")
+        return value / 1e6 if in_microseconds else value
     if isinstance(info, types.BoolType):
         if text not in ("1", "true", "0", "false"):
-            raise ValueError(f"{shown(text)} is not a truth value")
+            raise ValueError(f"{abbreviate(text)} is not a boolean")
         return text in ("1", "true")
     if isinstance(info, types.LiteralType):
         if text not in info.values:
-            raise ValueError(f"{shown(text)} is none of {', '.join(map(str, info.values))}")
+            raise ValueError(f"{abbreviate(text)} is not one of {', '.join(map(str, info.values))}")
         return text
     if isinstance(info, types.ListType):
         words = info.item_type.values if isinstance(info.item_type, types.LiteralType) else None
@@ -121,21 +131,21 @@
     return text
 
 
-def _bound(info: types.Type, value: Any) -> None:
-    """Raises ValueError where a number is out of its range."""
+def _check_bounds(info: types.Type, value: Any) -> None:
+    """Raises ValueError if a number is outside the range that its type allows."""
     if isinstance(info, types.IntType | types.FloatType):
         if info.gt is not None and not value > info.gt:
-            raise ValueError(f"{shown(value)} must be more than {info.gt}")
+            raise ValueError(f"{abbreviate(value)} must be greater than {info.gt}")
         if info.ge is not None and not value >= info.ge:
-            raise ValueError(f"{shown(value)} must be at least {info.ge}")
+            raise ValueError(f"{abbreviate(value)} must be at least {info.ge}")
         if info.lt is not None and not value < info.lt:
-            raise ValueError(f"{shown(value)} must be less than {info.lt}")
+            raise ValueError(f"{abbreviate(value)} must be less than {info.lt}")
         if info.le is not None and not value <= info.le:
-            raise ValueError(f"{shown(value)} must be at most {info.le}")
+            raise ValueError(f"{abbreviate(value)} must be at most {info.le}")
 
 
-def _plain(info: types.Type) -> tuple[types.Type, dict[str, Any]]:
-    """A type without its description, and what that holds for this reader."""
+def _split_metadata(info: types.Type) -> tuple[types.Type, dict[str, Any]]:
+    """Returns a field's type without its metadata, and the `extra` dict that schema._meta put there."""
     if isinstance(info, types.Metadata):
         return info.type, info.extra or {}
     return info, {}
@@ -148,285 +158,301 @@
     return info.fields
 
 
-def _prefixes(paths: Iterable[str]) -> set[str]:
-    return {prefix for path in paths for prefix in _steps(path)}
+def _all_path_prefixes(paths: Iterable[str]) -> set[str]:
+    return {prefix for path in paths for prefix in _path_prefixes(path)}
 
 
-def _steps(path: str) -> Iterable[str]:
-    """`a`, `a.b` and so on, no deeper than one step below any setting."""
-    return accumulate(path.split(".", DEEPEST)[:DEEPEST], "{}.{}".format)
+def _path_prefixes(path: str) -> Iterable[str]:
+    """Yields `a`, `a.b` and so on, up to MAX_PATH_NAMES names: one level below the deepest setting."""
+    return accumulate(path.split(".", MAX_PATH_NAMES)[:MAX_PATH_NAMES], "{}.{}".format)
 
 
-class _Settings:
-    """Reads the flat settings by the types of the schema, and goes on after each fault."""
+class _SettingsReader:
+    """Reads the flattened settings by the types in the schema. Records each error and continues after it."""
 
-    def __init__(self, pairs: Mapping[str, str]) -> None:
-        self.pairs, self.reading = pairs, Reading([], [])
-        self.held = _prefixes(pairs)
-        self.asked: set[str] = set()
+    def __init__(self, text_by_path: Mapping[str, str]) -> None:
+        self.text_by_path, self.result = text_by_path, CheckResult([], [])
+        self.given_paths = _all_path_prefixes(text_by_path)
+        self.read_paths: set[str] = set()  # paths that the schema has, present in the file or not
 
-    def fault(self, path: str, message: str) -> None:
-        self.reading.findings.append(Finding(OUT_OF_RANGE, path, message))
+    def add_error(self, path: str, message: str) -> None:
+        self.result.findings.append(Finding(OUT_OF_RANGE, path, message))
 
-    def fields(self, fields: Iterable[types.Field], path: str) -> None:
+    def read_fields(self, fields: Iterable[types.Field], path: str) -> None:
         for field in fields:
-            self.field(field, f"{path}.{field.encode_name}")
+            self.read_field(field, f"{path}.{field.encode_name}")
 
-    def field(self, field: types.Field, path: str) -> None:
-        info, extra = _plain(field.type)
+    def read_field(self, field: types.Field, path: str) -> None:
+        info, extra = _split_metadata(field.type)
         if isinstance(info, types.StructType):
-            self.fields(info.fields, path)
+            self.read_fields(info.fields, path)
         elif isinstance(info, types.ListType) and isinstance(info.item_type, types.StructType):
-            self.items(info.item_type, path, field.required)
+            self.read_list(info.item_type, path, field.required)
         else:
-            self.leaf(field, info, extra, path)
-
-    def take(self, path: str) -> str | None:
-        self.asked.add(path)
-        return self.pairs.get(path)
-
-    def items(self, info: types.StructType, path: str, required: bool) -> None:
-        text = self.take(path + ".count")
-        if self.pairs.get(path) == "":
-            self.asked.add(path)  # an empty list
+            self.read_value(field, info, extra, path)
+
+    def get_text(self, path: str) -> str | None:
+        """Returns the text at a path, if there is one, and marks the path as known."""
+        self.read_paths.add(path)
+        return self.text_by_path.get(path)
+
+    def read_list(self, info: types.StructType, path: str, required: bool) -> None:
+        """Reads a list of objects: its length at `path.count`, its items at `path.0` and so on."""
+        text = self.get_text(path + ".count")
+        if self.text_by_path.get(path) == "":
+            self.read_paths.add(path)  # an empty list is flattened to an empty text and a count of 0
         try:
             if text is None and required:
                 raise ValueError("missing, or not a list of objects")
-            count = 0 if text is None else _read_text(types.IntType(), text, False)
+            count = 0 if text is None else _parse_value(types.IntType(), text, False)
             if required and count < 1:
-                raise ValueError("must hold at least one")
-        except ValueError as fault:
-            self.fault(path, str(fault))
+                raise ValueError("must have at least one item")
+        except ValueError as error:
+            self.add_error(path, str(error))
             return
-        names: dict[str, str] = {}
+        names: dict[str, str] = {}  # path of the first item that has the name
         for number in range(count):
             item = f"{path}.{number}"
-            if item not in self.held:
-                self.fault(item, f"missing, of {count}")
+            if item not in self.given_paths:
+                self.add_error(item, f"missing: the list has a count of {count}")
                 return
-            self.fields(info.fields, item)
-            name = self.pairs.get(item + ".name")
+            self.read_fields(info.fields, item)
+            name = self.text_by_path.get(item + ".name")
             if required and name is not None and names.setdefault(name, item) != item:
-                self.fault(item + ".name", f"{shown(name)} is the name of {names[name]} too")
+                self.add_error(item + ".name", f"{abbreviate(name)} is already the name of {names[name]}")
 
-    def leaf(self, field: types.Field, info: types.Type, extra: dict[str, Any], path: str) -> None:
-        text = self.take(path)
+    def read_value(self, field: types.Field, info: types.Type, extra: dict[str, Any], path: str) -> None:
+        """Reads a number, boolean, string or list of strings."""
+        text = self.get_text(path)
         if isinstance(info, types.ListType) and text == "":
-            self.asked.add(path + ".count")  # an empty list
-        unit, unused = extra.get("unit", ""), extra.get("unused", "")
-        micro = unit.startswith(schema.MICROSECONDS)
-        unit = unit[1:] if micro else unit  # read in seconds
+            self.read_paths.add(
+                path + ".count"
+            )  # an empty list is flattened to an empty text and a count of 0
+        unit, no_effect = extra.get("unit", ""), extra.get("no_effect", "")
+        in_microseconds = unit.startswith(schema.MICROSECONDS)
+        unit = (
+            unit[1:] if in_microseconds else unit
+        )  # us -> s, us/s -> s/s: the value is converted to seconds
         if text is None or (text == "" and path in EMPTY_IS_DEFAULT):
             if field.required:
-                self.fault(path, "missing")
+                self.add_error(path, "missing")
             else:
                 default = field.default if field.default is not NODEFAULT else field.default_factory()
                 value = tuple(default) if isinstance(default, list) else default
-                self.reading.rows.append(Row(path, value, unit, "default", not unused))
+                self.result.rows.append(Row(path, value, unit, "default", not no_effect))
             return
-        if unused:
-            self.reading.findings.append(Finding(NO_EFFECT, path, unused))
-        if unused and not extra["reads"]:
+        if no_effect:
+            self.result.findings.append(Finding(NO_EFFECT, path, no_effect))
+        if no_effect and not extra["attribute"]:
             return
         try:
-            value = _read_text(info, text, micro)
-            _bound(info, value)
-        except ValueError as fault:
-            self.fault(path, str(fault))
+            value = _parse_value(info, text, in_microseconds)
+            _check_bounds(info, value)
+        except ValueError as error:
+            self.add_error(path, str(error))
             return
-        self.reading.rows.append(Row(path, value, unit, "file", not unused))
+        self.result.rows.append(Row(path, value, unit, "file", not no_effect))
 
-    def unknown(self) -> None:
-        known = _prefixes(self.asked)
-        found: dict[str, str] = {}
-        for path in self.pairs:
-            if path not in self.asked:
-                first = next((step for step in _steps(path) if step not in known), None)
-                found[first or path] = "no such setting" if first else "not in a form that is read"
-        self.reading.findings += [Finding(UNKNOWN, path, message) for path, message in found.items()]
+    def report_unknown(self) -> None:
+        """Reports each path that the schema doesn't have: only the topmost of a nested object."""
+        known_paths = _all_path_prefixes(self.read_paths)
+        messages: dict[str, str] = {}
+        for path in self.text_by_path:
+            if path not in self.read_paths:
+                first = next((prefix for prefix in _path_prefixes(path) if prefix not in known_paths), None)
+                messages[first or path] = "no such setting" if first else "not the expected type of value"
+        self.result.findings += [Finding(UNKNOWN, path, message) for path, message in messages.items()]
 
 
-def _read_settings(raw: object) -> Reading:
+def _check_settings(raw: object) -> CheckResult:
     if not isinstance(raw, dict):
-        return Reading([], [Finding(OUT_OF_RANGE, "settings", "missing, or not an object")])
+        return CheckResult([], [Finding(OUT_OF_RANGE, "settings", "missing, or not an object")])
     try:
         pairs = flatten(raw)
     except RecursionError:
-        return Reading([], [Finding(OUT_OF_RANGE, "settings", "nested too deeply")])
-    reader = _Settings({f"settings.{path}": text for path, text in pairs.items()})
-    reader.fields(_fields(schema.Settings), "settings")
-    reader.unknown()
-    if reader.reading.usable:
+        return CheckResult([], [Finding(OUT_OF_RANGE, "settings", "nested too deeply")])
+    reader = _SettingsReader({f"settings.{path}": text for path, text in pairs.items()})
+    reader.read_fields(_fields(schema.Settings), "settings")
+    reader.report_unknown()
+    if reader.result.usable:
         try:
             read_settings(pairs)
-        except ValueError as fault:  # what only `run`'s own reader knows
-            reader.fault("settings", _said(fault))
-    return reader.reading
+        except ValueError as error:  # a rule that only the reader used by `run` checks
+            reader.add_error("settings", _error_text(error))
+    return reader.result
 
 
-class _Top:
-    """Reads what stands beside the settings."""
+class _TopLevelReader:
+    """Reads the top-level keys other than `settings`, and the environment variables."""
 
     def __init__(self, raw: dict[str, Any], environ: Mapping[str, str]) -> None:
-        self.raw, self.environ, self.reading = raw, environ, Reading([], [])
+        self.raw, self.environ, self.result = raw, environ, CheckResult([], [])
 
-    def fault(self, path: str, message: str) -> None:
-        self.reading.findings.append(Finding(OUT_OF_RANGE, path, message))
+    def add_error(self, path: str, message: str) -> None:
+        self.result.findings.append(Finding(OUT_OF_RANGE, path, message))
 
-    def unknown(self, held: Iterable[str], struct: type[Struct], path: str) -> None:
+    def report_unknown(self, keys: Iterable[str], struct: type[Struct], path: str) -> None:
         fields = {field.encode_name for field in _fields(struct)}
-        for key in held:
+        for key in keys:
             if key not in fields:
-                self.reading.findings.append(Finding(UNKNOWN, path + key, "no such key"))
+                self.result.findings.append(Finding(UNKNOWN, path + key, "no such key"))
 
-    def put(self, path: str, value: Any, unit: str = "", source: str = "file") -> None:
-        self.reading.rows.append(Row(path, value, unit, source))
+    def add_row(self, path: str, value: Any, unit: str = "", source: str = "file") -> None:
+        self.result.rows.append(Row(path, value, unit, source))
 
-    def addresses(self) -> None:
+    def read_addresses(self) -> None:
         for key in ("listen", "discovery"):
             variable = "EDGE_" + key.upper()
-            told = self.environ.get(variable)
-            if not told and self.raw.get(key) is None:
-                self.fault(key, "missing")
+            override = self.environ.get(variable)
+            if not override and self.raw.get(key) is None:
+                self.add_error(key, "missing")
                 continue
             try:
-                own_address(told or self.raw.get(key))
-                self.put(key, told or self.raw.get(key), source=variable if told else "file")
-            except ValueError as fault:
-                self.fault(key, _said(fault) + f", from {variable}" * bool(told))
-
-    def name(self) -> None:
-        told = self.environ.get("EDGE_NAME")
-        source = "EDGE_NAME" if told else "file" if "name" in self.raw else "default"
+                own_address(override or self.raw.get(key))
+                self.add_row(key, override or self.raw.get(key), source=variable if override else "file")
+            except ValueError as error:
+                self.add_error(key, _error_text(error) + f" (from {variable})" * bool(override))
+
+    def read_name(self) -> None:
+        override = self.environ.get("EDGE_NAME")
+        source = "EDGE_NAME" if override else "file" if "name" in self.raw else "default"
         try:
-            self.put("name", told or str(self.raw.get("name", "")), source=source)
+            self.add_row("name", override or str(self.raw.get("name", "")), source=source)
         except RecursionError:
-            self.fault("name", "nested too deeply")
+            self.add_error("name", "nested too deeply")
 
-    def log(self) -> None:
+    def read_log_options(self) -> None:
         for variable, default in (("EDGE_LOG_FORMAT", "text"), ("EDGE_LOG_LEVEL", "info")):
-            told = self.environ.get(variable)
+            override = self.environ.get(variable)
             try:
-                chosen({variable: told or ""})
-                self.put(variable, told or default, source=variable if told else "default")
-            except ValueError as fault:
-                self.fault(variable, _said(fault))
+                chosen({variable: override or ""})
+                self.add_row(variable, override or default, source=variable if override else "default")
+            except ValueError as error:
+                self.add_error(variable, _error_text(error))
 
-    def seed(self) -> None:
+    def read_random_seed(self) -> None:
         seed = self.raw.get("seed", 0)
         try:
             value = read_seed(seed)
-            self.put("seed", f"{value:x}", "hex", "file" if "seed" in self.raw else "default")
+            self.add_row("seed", f"{value:x}", "hex", "file" if "seed" in self.raw else "default")
         except (ValueError, RecursionError):
-            self.fault("seed", f"{shown(seed)} is no whole number or hex digits, of 256 bits at most")
+            self.add_error(
+                "seed", f"{abbreviate(seed)} is not a whole number or hex string of at most 256 bits"
+            )
 
-    def limits(self) -> None:
+    def read_limits(self) -> None:
         limits = self.raw.get("limits") or {}
         if not isinstance(limits, dict):
-            self.fault("limits", "not an object")
+            self.add_error("limits", "not an object")
             return
         soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         if soft == resource.RLIM_INFINITY:
             soft = 1 << 20
-        self.sockets(limits)
-        self.memory(limits)
-        self.unknown(limits, schema.Limits, "limits.")
+        self.read_socket_limit(limits)
+        self.read_memory_limit(limits)
+        self.report_unknown(limits, schema.Limits, "limits.")
         if "cores" in limits:
-            self.reading.findings.append(Finding(NO_EFFECT, "limits.cores", "the platform holds it"))
+            self.result.findings.append(Finding(NO_EFFECT, "limits.cores", "enforced by the platform"))
 
-    def sockets(self, limits: dict[str, Any]) -> None:
+    def read_socket_limit(self, limits: dict[str, Any]) -> None:
         soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         if soft == resource.RLIM_INFINITY:
             soft = 1 << 20
-        told = limits.get("sockets", soft)
+        configured = limits.get("sockets", soft)
         try:
-            sockets = min(int(told), soft)
+            sockets = min(int(configured), soft)
         except (ValueError, TypeError, OverflowError):
-            self.fault("limits.sockets", f"{shown(told)} is not a whole number")
+            self.add_error("limits.sockets", f"{abbreviate(configured)} is not a whole number")
             return
         if sockets < 64:
-            self.fault("limits.sockets", f"{sockets} must be at least 64")
+            self.add_error("limits.sockets", f"{sockets} must be at least 64")
             return
-        source = "process limit" if "sockets" not in limits or int(told) > soft else "file"
-        self.put("limits.sockets", sockets, "descriptors", source)
+        source = "process limit" if "sockets" not in limits or int(configured) > soft else "file"
+        self.add_row("limits.sockets", sockets, "descriptors", source)
 
-    def memory(self, limits: dict[str, Any]) -> None:
-        told = limits.get("memory_mb", 192)
+    def read_memory_limit(self, limits: dict[str, Any]) -> None:
+        configured = limits.get("memory_mb", 192)
         try:
-            memory = float(told)
+            memory = float(configured)
         except (ValueError, TypeError, OverflowError):
-            self.fault("limits.memory_mb", f"{shown(told)} is not a number")
+            self.add_error("limits.memory_mb", f"{abbreviate(configured)} is not a number")
             return
         if not 0 < memory < 1 << 30:
-            self.fault("limits.memory_mb", f"{memory} must be more than 0 and less than {1 << 30}")
+            self.add_error("limits.memory_mb", f"{memory} must be greater than 0 and less than {1 << 30}")
             return
-        self.put("limits.memory_mb", memory, schema.MEGABYTES, "file" if "memory_mb" in limits else "default")
+        self.add_row(
+            "limits.memory_mb", memory, schema.MEGABYTES, "file" if "memory_mb" in limits else "default"
+        )
 
-    def known(self) -> None:
+    def read_known_servers(self) -> None:
+        """Reads `known`, the saved list of servers. Reports each of them that makes the list unusable."""
         known = self.raw.get("known") or {}
         if not isinstance(known, dict):
-            self.fault("known", "not an object")
+            self.add_error("known", "not an object")
             return
-        self.unknown(known, schema.Known, "known.")
+        self.report_unknown(known, schema.Known, "known.")
         if not known:
-            self.put("known.endpoints", 0, "servers", "default")
+            self.add_row("known.endpoints", 0, "servers", "default")
             return
         try:
-            self.put("known.endpoints", len(read_listing(known).backends), "servers")
+            self.add_row("known.endpoints", len(read_listing(known).backends), "servers")
         except (ValueError, RecursionError):
-            self.known_faults(known)
+            self.report_known_errors(known)
         servers = known.get("endpoints")
         for number, server in enumerate(servers if isinstance(servers, list) else ()):
             if isinstance(server, dict):
-                self.unknown(server, schema.Endpoint, f"known.endpoints.{number}.")
+                self.report_unknown(server, schema.Endpoint, f"known.endpoints.{number}.")
 
-    def known_faults(self, known: dict[str, Any]) -> None:
-        """Each server of a list that can't be used; where none is at fault, the list is."""
-        before = len(self.reading.findings)
+    def report_known_errors(self, known: dict[str, Any]) -> None:
+        """Reports each unusable server of the list, and errors of the list itself."""
+        before = len(self.result.findings)
         servers = known.get("endpoints")
         for number, server in enumerate(servers if isinstance(servers, list) else ()):
             try:
                 read_listing({"index": 0, "snapshot": True, "endpoints": [server]})
-            except (ValueError, RecursionError) as fault:
-                self.fault(f"known.endpoints.{number}", _said(fault))
+            except (ValueError, RecursionError) as error:
+                self.add_error(f"known.endpoints.{number}", _error_text(error))
         try:
             read_listing({**known, "endpoints": []})
-        except (ValueError, RecursionError) as fault:
-            self.fault("known", _said(fault))
-        if len(self.reading.findings) == before:
-            self.fault("known.endpoints", "missing, or not a list of servers")
+        except (ValueError, RecursionError) as error:
+            self.add_error("known", _error_text(error))
+        if len(self.result.findings) == before:
+            self.add_error("known.endpoints", "missing, or not a list of servers")
 
 
-def _doubts(rows: Iterable[Row]) -> Iterable[tuple[str, str]]:
-    """Paths and what is odd about them, though `run` takes it."""
+def _suspicious_values(rows: Iterable[Row]) -> Iterable[tuple[str, str]]:
+    """Yields the path of each value that `run` accepts but that is probably a mistake, and the reason."""
     values = {row.path: row.value for row in rows}
     if values.get("settings.me", 0) >= values.get("settings.balancers", math.inf):
-        yield "settings.me", "not less than balancers"
+        yield "settings.me", "not less than balancers; proxies are numbered from 0"
     if 0 < len(values.get("settings.stages", ())) <= values.get("settings.stage", 0):
-        yield "settings.stage", "not a place in stages"
+        yield "settings.stage", "not an index into stages"
     if values.get("limits.memory_mb", math.inf) <= BASE_MEMORY:
-        yield "limits.memory_mb", f"the process alone takes {BASE_MEMORY} MB"
+        yield "limits.memory_mb", f"the process alone needs {BASE_MEMORY} MB"
     for path, value in values.items():
-        item, _, last = path.rpartition(".")
-        if last == "deadline" and values.get(item + ".objective", 0.0) > value:
-            yield item + ".objective", "longer than the deadline"
-        if last == "effect" and value == "by_key" and values.get(item + ".window") == 0:
-            yield item + ".window", "no repeat is ever in time"
+        parent, _, name = path.rpartition(".")
+        if name == "deadline" and values.get(parent + ".objective", 0.0) > value:
+            yield parent + ".objective", "longer than the deadline"
+        if name == "effect" and value == "by_key" and values.get(parent + ".window") == 0:
+            yield parent + ".window", "a window of 0 s leaves no time for a retry"
+
 
+def check_content(raw: object, environ: Mapping[str, str]) -> CheckResult:
+    """Checks the parsed content of a file, with the environment variables that override parts of it.
 
-def read(raw: object, environ: Mapping[str, str]) -> Reading:
-    """What `run` would make of a file with this content, under these variables: all values and all faults."""
+    Returns every value that `run` would read and every problem. Raises nothing for bad content.
+    """
     if not isinstance(raw, dict):
-        return Reading([], [Finding(OUT_OF_RANGE, "", "the file does not hold an object")])
-    top = _Top(raw, environ)
-    top.name()
-    top.addresses()
-    top.seed()
-    top.limits()
-    top.known()
-    top.log()
-    top.unknown(raw, schema.ConfigFile, "")
-    settings = _read_settings(raw.get("settings"))
-    rows = top.reading.rows + settings.rows
-    doubts = [Finding(DOUBTFUL, path, message) for path, message in _doubts(rows)]
-    return Reading(rows, top.reading.findings + settings.findings + doubts)
+        return CheckResult([], [Finding(OUT_OF_RANGE, "", "the file does not hold an object")])
+    reader = _TopLevelReader(raw, environ)
+    reader.read_name()
+    reader.read_addresses()
+    reader.read_random_seed()
+    reader.read_limits()
+    reader.read_known_servers()
+    reader.read_log_options()
+    reader.report_unknown(raw, schema.ConfigFile, "")
+    settings = _check_settings(raw.get("settings"))
+    rows = reader.result.rows + settings.rows
+    doubtful = [Finding(DOUBTFUL, path, message) for path, message in _suspicious_values(rows)]
+    return CheckResult(rows, reader.result.findings + settings.findings + doubtful)
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -1,4 +1,4 @@
-"""What a configuration means for a request, in the figures that the module and the sockets really use."""
+"""Explains a configuration: the limits, times and budgets that the proxy derives from it for a request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from granitepoint import __main__ as program
+from granitepoint import __main__ as proxy_main
 from granitepoint import admission, logic
 from granitepoint.interface import Effect, ListKind, RequestClass, ServerList, Settings
 from granitepoint.membership import backoff, list_lease
@@ -20,18 +20,21 @@
 
 
 class Entry(Struct):
-    """One figure: its name, its value with the unit, and what it means."""
+    """One value with its name, its unit and what it means."""
 
     name: str
     value: Any
     unit: str
     meaning: str
 
-    def figure(self) -> dict[str, Any]:
+    def as_json(self) -> dict[str, Any]:
+        """Returns what `explain --json` prints under the name."""
         return {"value": self.value, "unit": self.unit, "meaning": self.meaning}
 
 
 class Section(Struct):
+    """A titled group of entries."""
+
     title: str
     entries: list[Entry]
 
@@ -43,45 +46,58 @@
 def _instance(config: Config) -> Section:
     settings = config.settings
     return Section("instance", [
-        Entry("name", config.name, "", "in the log"),
-        Entry("place", settings.me, "", f"among {settings.balancers} of the tier, from 0"),
-        Entry("tier", settings.stage, "", "0 takes clients' requests"),
-        Entry("zone", settings.zone, "", "servers of this zone come first"),
-        Entry("quantum", settings.quantum, SECONDS, "decisions come no more often"),
-        Entry("most open", settings.most_held or None, "requests", "one more is answered 503 at once"),
+        Entry("name", config.name, "", "as it appears in the log"),
+        Entry("place", settings.me, "", f"index among the {settings.balancers} proxies of the tier, from 0"),
+        Entry("tier", settings.stage, "", "tier 0 receives the requests of clients"),
+        Entry("zone", settings.zone, "", "servers of this zone are preferred"),
+        Entry("quantum", settings.quantum, SECONDS, "shortest time between two batches of decisions"),
+        Entry("most open", settings.most_held or None, "requests",
+              "beyond that, a request is answered 503 at once"),
     ])  # fmt: skip
 
 
 def _repeats(cls: RequestClass) -> str:
     if cls.effect is Effect.REPEATABLE:
-        return "any server may get a further attempt"
+        return "a retry may go to any server"
     if cls.effect is Effect.ONCE:
-        return "a further attempt only once each before is proved never to have run"
+        return "retried only if each earlier attempt provably never ran"
     where = "any server" if cls.group == "all" else f"servers of the same {cls.group}"
-    return f"after one that may have run, a further attempt only to {where}, within the window"
+    return f"after an attempt that may have run, retried only on {where}, within the window"
 
 
-def _class(cls: RequestClass, settings: Settings) -> Section:
-    kind = admission.Kind(cls, settings.stage)
-    answered = max(0.0, cls.deadline - driver.LEAST_MARGIN)
-    held = max(0.0, answered - driver.MODULE_MARGIN - logic.ANSWER_MARGIN)
-    always = cls.effect is Effect.REPEATABLE or (cls.effect is Effect.BY_KEY and cls.group == "all")
-    earlier = driver.MOST_MARGIN - driver.LEAST_MARGIN
-    busy = f"at the latest; up to {earlier:g} s earlier when busy"
+def _request_class(cls: RequestClass, settings: Settings) -> Section:
+    class_state = admission.Kind(cls, settings.stage)
+    answered_by = max(0.0, cls.deadline - driver.LEAST_MARGIN)
+    held_until = max(0.0, answered_by - driver.MODULE_MARGIN - logic.ANSWER_MARGIN)
+    refusable_always = cls.effect is Effect.REPEATABLE or (cls.effect is Effect.BY_KEY and cls.group == "all")
+    extra_margin = driver.MOST_MARGIN - driver.LEAST_MARGIN
+    answered_by_meaning = f"at the latest; up to {extra_margin:g} s earlier under load"
     entries = [
-        Entry("worth", cls.worth, "points", "under overload the least worth is refused first"),
-        Entry("objective", cls.aim, SECONDS, f"a later answer has {cls.late_worth:g} of the worth"),
-        Entry("deadline", cls.deadline, SECONDS, "the most that a request's own budget counts for"),
-        Entry("answered by", _rounded(answered), SECONDS, busy),
-        Entry("held until", _rounded(held), SECONDS, "at the latest, before its first attempt goes out"),
-        Entry("target from", _rounded(kind.least_target), SECONDS, "slower answers close the window"),
-        Entry("target to", _rounded(kind.target), SECONDS, "the same at the start; it is learned"),
-        Entry("attempts", settings.max_attempts, "attempts", "at most, one at a time on sockets"),
+        Entry("worth", cls.worth, "points", "under overload the lowest utility is refused first"),
+        Entry("objective", cls.aim, SECONDS, f"a later answer counts for {cls.late_worth:g} of the worth"),
+        Entry("deadline", cls.deadline, SECONDS, "upper limit of the budget that a request states"),
+        Entry("answered by", _rounded(answered_by), SECONDS, answered_by_meaning),
+        Entry(
+            "held until",
+            _rounded(held_until),
+            SECONDS,
+            "at the latest, in the queue before its first attempt",
+        ),
+        Entry(
+            "target from",
+            _rounded(class_state.least_target),
+            SECONDS,
+            "slower answers lower the concurrency limit",
+        ),
+        Entry(
+            "target to", _rounded(class_state.target), SECONDS, "the target at the start; later it is learned"
+        ),
+        Entry("attempts", settings.max_attempts, "attempts", "at most; the proxy sends one at a time"),
         Entry("repeats", cls.effect.value, "", _repeats(cls)),
     ]
     if cls.effect is Effect.BY_KEY:
         entries.append(Entry("window", cls.window, SECONDS, "from the first attempt that may have run"))
-    refusal = "at any time" if always else "only while nothing may have run; after that it fails: 502 or 504"
+    refusal = "at any time" if refusable_always else "only while no attempt may have run; later 502 or 504"
     entries.append(Entry("refused", 503, "", refusal))
     return Section(f"class {cls.name}", entries)
 
@@ -89,36 +105,45 @@
 def _retries(settings: Settings) -> Section:
     advice = settings.max_wait_advice if settings.may_advise_wait else 0.0
     return Section("retries", [
-        Entry("budget", logic.RETRY_SHARE, "attempts", "further ones that each new request allows"),
-        Entry("burst", logic.RETRY_BURST, "attempts", "that may come at once"),
-        Entry("never ran", logic.RETRY_UNSEEN, "attempts", "that one counts as, where nothing has run"),
-        Entry("cancel", settings.may_cancel, "", "a stuck attempt may be given up for another"),
-        Entry("advice", advice, SECONDS, "longest Retry-After of a refusal; 0: none is given"),
+        Entry("budget", logic.RETRY_SHARE, "attempts", "retries that each new request adds to the budget"),
+        Entry("burst", logic.RETRY_BURST, "attempts", "retries that may be sent at once"),
+        Entry("never ran", logic.RETRY_UNSEEN, "attempts", "cost of a retry after an attempt that never ran"),
+        Entry("cancel", settings.may_cancel, "", "whether a stuck attempt may be cancelled for another one"),
+        Entry("advice", advice, SECONDS, "longest Retry-After of a refusal; 0: none is sent"),
     ])  # fmt: skip
 
 
 def _tenants(settings: Settings, balancer: logic.Balancer) -> Section:
-    counted = "counted" if settings.stage == 0 else "only counted in the first tier"
+    where_counted = "counted in this tier" if settings.stage == 0 else "counted only in tier 0"
     entries = [
-        Entry(f"tenant {name}", _rounded(quota), PER_SECOND, f"here, at once {max(1.0, quota):g}; {counted}")
+        Entry(
+            f"tenant {name}",
+            _rounded(quota),
+            PER_SECOND,
+            f"for this proxy, burst {max(1.0, quota):g}; {where_counted}",
+        )
         for name, quota in balancer.quota.items()
     ]
-    factor = Entry("past a quota", settings.over_share_worth, "share", "of its worth that it counts for")
+    factor = Entry(
+        "past a quota", settings.over_share_worth, "share", "of the worth, for requests beyond the quota"
+    )
     return Section("tenants", [*entries, factor] if entries else [])
 
 
 def _servers(settings: Settings, balancer: logic.Balancer) -> Section:
     pool, known = balancer.servers.pool, balancer.servers.known
-    first = settings.cold_from * logic.COLD_SHARE * settings.fall_multiple
-    last = logic.COLD_SHARE * settings.fall_multiple
-    mean = 1 / len(pool) if pool else 0.0
+    first_budget = settings.cold_from * logic.COLD_SHARE * settings.fall_multiple
+    last_budget = logic.COLD_SHARE * settings.fall_multiple
+    mean_share = 1 / len(pool) if pool else 0.0
     return Section("servers", [
-        Entry("known", len(known), "servers", "in the file's list"),
-        Entry("used", len(pool), "servers", f"at most {logic.POOL}, of the own zone {logic.POOL_LOCAL}"),
-        Entry("cold for", settings.cold_for, SECONDS, f"from {settings.cold_from:g} of its capacity"),
-        Entry("cold budget, first", _rounded(first), "parts", "of the server's part of the peak rate"),
-        Entry("cold budget, last", _rounded(last), "parts", "the same when it is almost warm"),
-        Entry("a server's part", _rounded(mean), "share", "of the calls, at the mean weight of those used"),
+        Entry("known", len(known), "servers", "in the list of the configuration file"),
+        Entry("used", len(pool), "servers", f"at most {logic.POOL}; {logic.POOL_LOCAL} of the own zone"),
+        Entry("cold for", settings.cold_for, SECONDS,
+              f"slow start of a new server, from {settings.cold_from:g} of its capacity"),
+        Entry("cold budget, first", _rounded(first_budget), "parts",
+              "of the server's share of the peak rate, at its start"),
+        Entry("cold budget, last", _rounded(last_budget), "parts", "the same, at the end of the slow start"),
+        Entry("a server's part", _rounded(mean_share), "share", "of the calls, for a server of mean weight"),
         Entry("ejected for", logic.EJECT_FIRST, SECONDS, f"then doubled, up to {logic.EJECT_LONGEST:g} s"),
     ])  # fmt: skip
 
@@ -126,80 +151,102 @@
 def _probes(settings: Settings, balancer: logic.Balancer) -> Section:
     if not settings.may_probe:
         return Section("probes", [Entry("allowed", False, "", "servers are never probed")])
-    target = "/healthz" if settings.reports == "none" else "/load"
+    path = "/healthz" if settings.reports == "none" else "/load"
     return Section("probes", [
-        Entry("allowed", True, "", f"GET {target}"),
-        Entry("at the start", logic.FIRST_PROBES, "probes", "at most, over all zones"),
-        Entry("per request", logic.PROBES_PER_CALL, "probes", "of the steady ones"),
-        Entry("least", logic.PROBES_LEAST, PER_SECOND, "also when idle"),
-        Entry("for one call", logic.ASK if balancer.asks else 0, "servers", "asked before it; 0: too dear"),
+        Entry("allowed", True, "", f"GET {path}"),
+        Entry("at the start", logic.FIRST_PROBES, "probes", "at most, over all zones together"),
+        Entry("per request", logic.PROBES_PER_CALL, "probes", "steady probes that each request adds"),
+        Entry("least", logic.PROBES_LEAST, PER_SECOND, "lowest rate of probes, also without requests"),
+        Entry("for one call", logic.ASK if balancer.asks else 0, "servers",
+              "probed before the call is sent; 0: probes are too expensive"),
         Entry("timeout", driver.PROBE_TIMEOUT, SECONDS, "after which a probe has failed"),
-        Entry("at once", driver.MOST_PROBES, "probes", "at most"),
+        Entry("at once", driver.MOST_PROBES, "probes", "in progress, at most"),
     ])  # fmt: skip
 
 
 def _discovery(config: Config) -> Section:
     settings = config.settings
-    entries = [Entry("address", "{}:{}".format(*config.discovery), "", "may change on SIGHUP")]
+    entries = [Entry("address", "{}:{}".format(*config.discovery), "", "read again on SIGHUP")]
     if settings.ask_for_list:
         instances = settings.balancers * settings.stages
-        first = min(logic.FIRST_ASK, logic.FIRST_ASK_EACH * instances, settings.must_ask_within / 4)
-        longest = min(backoff.LONGEST_PAUSE, logic.FAILED_ASK * settings.must_ask_within)
-        growing = f"at most, after a call that waited in vain; growing with each, up to {longest:g} s"
+        first_watch = min(logic.FIRST_ASK, logic.FIRST_ASK_EACH * instances, settings.must_ask_within / 4)
+        longest_pause = min(backoff.LONGEST_PAUSE, logic.FAILED_ASK * settings.must_ask_within)
+        pause_meaning = (
+            f"at most, after a call that waited without success; grows with each, up to {longest_pause:g} s"
+        )
         entries += [
-            Entry("first watch", first, SECONDS, "at the latest after the start, at a random time"),
-            Entry("asked again", min(backoff.CROWDED.first, longest), SECONDS, growing),
-            Entry("while it is away", backoff.AWAY.longest, SECONDS, "at most, after a refused call"),
-            Entry("list used for", list_lease.TOLD_AFTER, SECONDS, "after the last proof"),
-            Entry("doubted", logic.DOUBT_SPACING, SECONDS, "without news, while a listed server refuses"),
+            Entry("first watch", first_watch, SECONDS, "after the start, at most; at a random time"),
+            Entry("asked again", min(backoff.CROWDED.first, longest_pause), SECONDS, pause_meaning),
+            Entry(
+                "while it is away",
+                backoff.AWAY.longest,
+                SECONDS,
+                "at most, while discovery refuses connections",
+            ),
+            Entry("list used for", list_lease.TOLD_AFTER, SECONDS, "after the last proof that it is current"),
+            Entry(
+                "doubted",
+                logic.DOUBT_SPACING,
+                SECONDS,
+                "without news, before a server that refuses makes the list suspect",
+            ),
         ]
     else:
-        entries.append(Entry("asked again", discovery.PUSH_PAUSE, SECONDS, "after a watch that ended"))
+        entries.append(Entry("asked again", discovery.PUSH_PAUSE, SECONDS, "after the end of a watch"))
     entries += [
-        Entry("held", discovery.HOLD_MS / 1000, SECONDS, "a watch that discovery may hold open"),
-        Entry("renewed", discovery.RENEW, SECONDS, "a watch that said nothing, beside the one before"),
-        Entry("must ask in", settings.must_ask_within, SECONDS, "else lists count as told that were not"),
+        Entry("held", discovery.HOLD_MS / 1000, SECONDS, "longest time for which discovery may hold a watch"),
+        Entry("renewed", discovery.RENEW, SECONDS, "silence after which a second watch is opened"),
+        Entry(
+            "must ask in",
+            settings.must_ask_within,
+            SECONDS,
+            "the longest time without asking; after it, all changes count as notified",
+        ),
     ]
     return Section("discovery", entries)
 
 
-async def _shares(config: Config) -> Section:
-    """From the objects that bound them, made but never started."""
+async def _connections_and_memory(config: Config) -> Section:
+    """Reads the limits from a server and a connection pool that are created but never started."""
     handler: Any = None
-    callers = server.Server({}, handler, config.sockets, config.memory_mb)
+    listening = server.Server({}, handler, config.sockets, config.memory_mb)
     settings = config.settings
-    most = int(config.sockets * upstream.UPSTREAM_SHARE)
-    servers = upstream.Upstreams(settings.connect_timeout, settings.conn_idle, most)
+    max_connections = int(config.sockets * upstream.UPSTREAM_SHARE)
+    upstreams = upstream.Upstreams(settings.connect_timeout, settings.conn_idle, max_connections)
     reserve = min(server.RESERVE, config.sockets // 10)
-    extra = callers.most_ever - callers.most_open
+    extra = listening.most_ever - listening.most_open
     long_kb = server.LONG_BODY // 1024
     return Section("connections and memory", [
-        Entry("descriptors", config.sockets, "descriptors", "that the process may hold"),
-        Entry("to servers", servers.most_open, "descriptors", "at most"),
-        Entry("reserve", reserve, "descriptors", "for the listener, discovery, the loop and the log"),
-        Entry("from callers", callers.most_open, "descriptors", f"then {extra} that are told of no room"),
-        Entry("memory", config.memory_mb, "MB", f"of these {server.BASE_MEMORY} before it serves"),
-        Entry("of a caller", server.CALLER_MEMORY, "MB", "at most: a request with its copy, and an answer"),
-        Entry("long requests", callers.most_long, "requests", f"beyond {long_kb} KB, held at once"),
-        Entry("request", server.MOST_BODY // 1024, "KB", "largest body; an answer's too"),
-        Entry("connect", settings.connect_timeout, SECONDS, "after which the server was not reached"),
-        Entry("idle", servers.idle_for, SECONDS, "after which a server's connection is closed from here"),
+        Entry("descriptors", config.sockets, "descriptors", "that the process may have open"),
+        Entry("to servers", upstreams.most_open, "descriptors", "for connections to servers, at most"),
+        Entry("reserve", reserve, "descriptors", "for the listener, discovery, the event loop and the log"),
+        Entry("from callers", listening.most_open, "descriptors",
+              f"for callers, at most; {extra} more connections are accepted only to be refused"),
+        Entry("memory", config.memory_mb, "MB", f"of these {server.BASE_MEMORY} in use before it serves"),
+        Entry("of a caller", server.CALLER_MEMORY, "MB",
+              "at most, for a connection: a request with its copy, and an answer"),
+        Entry("long requests", listening.most_long, "requests", f"larger than {long_kb} KB, at a time"),
+        Entry("request", server.MOST_BODY // 1024, "KB", "largest body of a request, and of an answer"),
+        Entry("connect", settings.connect_timeout, SECONDS, "after which a connection attempt has failed"),
+        Entry("idle", upstreams.idle_for, SECONDS,
+              "after which the proxy closes an unused connection to a server"),
     ])  # fmt: skip
 
 
-def _ending(settings: Settings) -> Section:
-    longest = max(cls.deadline for cls in settings.classes)
-    by = min(longest, program.LONGEST_WAIT) + program.KILL_SPARE - program.SPARE
-    closing = _rounded(by - program.WIND_DOWN)
+def _shutdown(settings: Settings) -> Section:
+    longest_deadline = max(cls.deadline for cls in settings.classes)
+    answered_by = min(longest_deadline, proxy_main.LONGEST_WAIT) + proxy_main.KILL_SPARE - proxy_main.SPARE
+    closing_from = _rounded(answered_by - proxy_main.WIND_DOWN)
     return Section("after SIGTERM", [
-        Entry("listens for", program.LAST_ACCEPT, SECONDS, "further, while the front takes notice"),
-        Entry("winds down", closing, SECONDS, "then each answer closes its connection"),
-        Entry("all answered", _rounded(by), SECONDS, "at the latest"),
+        Entry("listens for", proxy_main.LAST_ACCEPT, SECONDS,
+              "further, until the front has noticed the shutdown"),
+        Entry("winds down", closing_from, SECONDS, "from then on each answer closes its connection"),
+        Entry("all answered", _rounded(answered_by), SECONDS, "at the latest"),
     ])  # fmt: skip
 
 
 def explain(config: Config) -> list[Section]:
-    """All sections. Raises ConfigError where the list of servers or a number can't be used."""
+    """Returns all sections. Raises ConfigError if the list of servers or a number can't be used."""
     settings = config.settings
     try:
         balancer = logic.Balancer(settings, config.seed)
@@ -208,14 +255,14 @@
         balancer.handle(time.monotonic(), [ServerList(ListKind.SAVED, entries)])
         return [
             _instance(config),
-            *(_class(cls, settings) for cls in settings.classes),
+            *(_request_class(cls, settings) for cls in settings.classes),
             _retries(settings),
             _tenants(settings, balancer),
             _servers(settings, balancer),
             _probes(settings, balancer),
             _discovery(config),
-            asyncio.run(_shares(config)),
-            _ending(settings),
+            asyncio.run(_connections_and_memory(config)),
+            _shutdown(settings),
         ]
-    except ValueError as fault:
-        raise ConfigError(f"bad configuration: known: {fault}") from None
+    except ValueError as error:
+        raise ConfigError(f"bad configuration: known: {error}") from None
--- a/granitepoint/cli/schema.py
+++ b/granitepoint/cli/schema.py
@@ -1,7 +1,7 @@
-"""The JSON file that EDGE_CONFIG names, as types: names, units, ranges and what has no effect on the proxy.
+"""Types for the JSON file that EDGE_CONFIG names: keys, units, ranges and which keys have no effect.
 
-`check` reads a file by these types, and docs/config.schema.json is made from them. `run` has its own reader
-(granitepoint.net.config); a test holds the two together.
+`check` reads a file by these types, and docs/config.schema.json is generated from them. `run` has its own
+reader (granitepoint.net.config); tests/test_config_file.py verifies that the two agree.
 """
 
 from __future__ import annotations
@@ -17,53 +17,77 @@
 SECONDS, PER_SECOND, SHARE, POINTS, MEGABYTES, MICROSECONDS = "s", "1/s", "share", "points", "MB", "us"
 
 
-def _meta(text: str, unit: str = "", reads: str = "", unused: str = "", **bounds: Any) -> Meta:
-    """A field's description. `reads`: the attribute of the interface's type that holds it. `unused`: why it
-    has no effect on the proxy. `bounds`: gt, ge, lt and le, of the value as read."""
-    published = {key: value for key, value in (("unit", unit), ("noEffect", unused)) if value}
-    extra = {"unit": unit, "reads": reads, "unused": unused}
-    return Meta(description=text, extra=extra, extra_json_schema=published, **bounds)
+def _meta(description: str, unit: str = "", attribute: str = "", no_effect: str = "", **bounds: Any) -> Meta:
+    """Returns the metadata of a field.
 
+    `attribute` is the attribute of the type in granitepoint.interface that holds the value. `no_effect` is
+    the reason why the key has no effect on the proxy; empty if it has one. `bounds` are gt, ge, lt and le.
+    """
+    published = {key: value for key, value in (("unit", unit), ("noEffect", no_effect)) if value}
+    extra = {"unit": unit, "attribute": attribute, "no_effect": no_effect}
+    return Meta(description=description, extra=extra, extra_json_schema=published, **bounds)
 
-_NO_RULE = "no decision needs it"
-_GOAL = "the result's weights change no decision"
-_PRICE = "no decision weighs this price"
+
+_NOT_USED = "no decision uses it"
+_WEIGHT_NOT_USED = "no decision uses the weights of the result"
+_PRICE_NOT_USED = "no decision uses this price"
 
 
 class Grade(Struct, kw_only=True):
     """A class of requests."""
 
-    name: Annotated[str, _meta("name, the first part of a request's path", reads="name")]
+    name: Annotated[str, _meta("name, the first part of a request's path", attribute="name")]
     value: Annotated[float, _meta("worth of one request", POINTS, "worth", ge=0)]
-    objective: Annotated[float, _meta("an answer within it has the full worth", SECONDS, "aim", gt=0)]
-    deadline: Annotated[float, _meta("how long a client waits over all its tries", SECONDS, "deadline", gt=0)]
+    objective: Annotated[float, _meta("an answer within this time has the full worth", SECONDS, "aim", gt=0)]
+    deadline: Annotated[
+        float, _meta("how long a client waits for an answer, over all its tries", SECONDS, "deadline", gt=0)
+    ]
     effect: Annotated[
-        Literal["repeatable", "by_key", "once"], _meta("what a second execution would do", reads="effect")
+        Literal["repeatable", "by_key", "once"],
+        _meta("what a second execution of a request would do", attribute="effect"),
     ]
     late_worth: Annotated[
-        float, _meta("of the worth, left between objective and deadline", SHARE, "late_worth", ge=0, le=1)
+        float,
+        _meta(
+            "part of the worth that an answer between objective and deadline keeps",
+            SHARE,
+            "late_worth",
+            ge=0,
+            le=1,
+        ),
     ] = 0.0
     group: Annotated[
-        Literal["all", "zone", "cell"], _meta("by_key: which servers drop a repeat", reads="group")
+        Literal["all", "zone", "cell"],
+        _meta("by_key: which servers drop a repeated request", attribute="group"),
     ] = "all"
-    window: Annotated[float, _meta("by_key: for how long they do", SECONDS, "window", ge=0)] = 0.0
+    window: Annotated[float, _meta("by_key: how long they drop it", SECONDS, "window", ge=0)] = 0.0
     stream: Annotated[
-        bool, _meta("the answer is streamed", reads="stream", unused="answers go out whole")
+        bool, _meta("the answer is streamed", attribute="stream", no_effect="answers are sent whole")
     ] = False
     aim_stretch: Annotated[
         float,
-        _meta("of the request's work, added to the objective", "", "aim_stretch", _NO_RULE, ge=0),
+        _meta(
+            "multiple of the request's work that is added to the objective",
+            "",
+            "aim_stretch",
+            _NOT_USED,
+            ge=0,
+        ),
     ] = 0.0
 
 
 class Tenant(Struct, kw_only=True):
-    name: Annotated[str, _meta("name, as in X-Caller", reads="name")]
-    quota_rps: Annotated[float, _meta("requests over all proxies", PER_SECOND, "quota_per_s", ge=0)]
-    portion: Annotated[float, _meta("of the service", SHARE, "share", _NO_RULE, ge=0)] = 0.0
+    name: Annotated[str, _meta("name, as in the header X-Caller", attribute="name")]
+    quota_rps: Annotated[
+        float, _meta("quota of requests, over all proxies together", PER_SECOND, "quota_per_s", ge=0)
+    ]
+    portion: Annotated[float, _meta("share of the service", SHARE, "share", _NOT_USED, ge=0)] = 0.0
 
 
 class Callers(Struct, kw_only=True):
-    marks_retry: Annotated[bool, _meta("callers mark their retries", reads="clients_mark_retries")] = False
+    marks_retry: Annotated[
+        bool, _meta("whether callers mark their retries", attribute="clients_mark_retries")
+    ] = False
 
 
 class Report(Struct, kw_only=True):
@@ -71,177 +95,266 @@
 
     names: Annotated[
         list[Literal["busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps"]],
-        _meta("what they hold", reads="report_names", unused="busy_reqs is used wherever a report holds it"),
+        _meta(
+            "values in a load report",
+            attribute="report_names",
+            no_effect="busy_reqs is used in every report that has it",
+        ),
     ] = []
     via: Annotated[
         Literal["inline", "on_probe", "off"],
-        _meta("they come with answers and probes, with probes only, or not at all", reads="reports"),
+        _meta("reports come with answers and probes, with probes only, or not at all", attribute="reports"),
     ] = "on_probe"
 
 
 class PolicyLimits(Struct, kw_only=True):
     """What the site permits."""
 
-    send_cap: Annotated[int, _meta("attempts for a request", "attempts", "max_attempts", ge=1, le=MOST_COUNT)]
-    may_duplicate: Annotated[bool, _meta("two attempts of a request at a time", reads="may_duplicate")]
-    may_cancel: Annotated[bool, _meta("attempts may be cancelled", reads="may_cancel")]
-    probes: Annotated[bool, _meta("servers may be probed", reads="may_probe")]
+    send_cap: Annotated[
+        int,
+        _meta("maximum number of attempts for a request", "attempts", "max_attempts", ge=1, le=MOST_COUNT),
+    ]
+    may_duplicate: Annotated[
+        bool, _meta("whether two attempts of a request may run at the same time", attribute="may_duplicate")
+    ]
+    may_cancel: Annotated[bool, _meta("whether attempts may be cancelled", attribute="may_cancel")]
+    probes: Annotated[bool, _meta("whether servers may be probed", attribute="may_probe")]
     peers: Annotated[
-        bool, _meta("proxies may talk to each other", reads="may_tell", unused="proxies do not talk")
+        bool,
+        _meta(
+            "whether proxies may send messages to each other",
+            attribute="may_tell",
+            no_effect="proxies send each other no messages",
+        ),
     ] = False
     most_held: Annotated[
-        int, _meta("open requests; 0: no limit but the room", "requests", "most_held", ge=0, le=MOST_COUNT)
+        int,
+        _meta(
+            "maximum number of open requests; 0: limited only by connections and memory",
+            "requests",
+            "most_held",
+            ge=0,
+            le=MOST_COUNT,
+        ),
     ] = 0
-    retry_after: Annotated[bool, _meta("callers heed Retry-After", reads="may_advise_wait")] = False
+    retry_after: Annotated[bool, _meta("whether callers honour Retry-After", attribute="may_advise_wait")] = (
+        False
+    )
     max_retry_after: Annotated[
-        float, _meta("longest Retry-After that they heed", SECONDS, "max_wait_advice", ge=0)
+        float, _meta("longest Retry-After that callers honour", SECONDS, "max_wait_advice", ge=0)
     ] = 0.0
     connect_timeout: Annotated[
-        float, _meta("a connect that takes longer has failed", SECONDS, "connect_timeout", gt=0)
+        float, _meta("a connection attempt that takes longer has failed", SECONDS, "connect_timeout", gt=0)
     ] = 0.25
     conn_idle: Annotated[
-        float, _meta("servers close a connection unused for so long", SECONDS, "conn_idle", ge=0)
+        float, _meta("servers close a connection that has been idle for longer", SECONDS, "conn_idle", ge=0)
     ] = 15.0
     streams_per_conn: Annotated[
         int,
         _meta(
-            "calls at a time on a connection",
+            "maximum number of calls at a time on a connection",
             "calls",
             "calls_per_connection",
-            "HTTP/1.1: one",
+            "HTTP/1.1 allows one",
             ge=1,
             le=MOST_COUNT,
         ),
     ] = 1
     cpu_us_per_s: Annotated[
-        float, _meta("processor time", "us/s", "cpu_per_s", "the platform holds it", ge=0)
+        float,
+        _meta(
+            "CPU time that the proxy may use; 0: no limit",
+            "us/s",
+            "cpu_per_s",
+            "enforced by the platform",
+            ge=0,
+        ),
     ] = 0.0
     cpu_us_per_request: Annotated[
-        float, _meta("processor time of a request", MICROSECONDS, "cpu_per_call", "measured outside", ge=0)
+        float,
+        _meta("CPU time for a request", MICROSECONDS, "cpu_per_call", "measured outside the proxy", ge=0),
     ] = 0.0
 
 
 class Contract(Struct, kw_only=True):
-    """Figures of the rules."""
+    """Parameters of the platform's rules."""
 
     grace_to_answer: Annotated[
         float,
-        _meta("after a deadline in which an answer counts", SECONDS, "answer_slack",
-              "answers leave before the deadline", ge=0),
+        _meta("time after a deadline in which an answer still counts", SECONDS, "answer_slack",
+              "answers are sent before the deadline", ge=0),
     ]  # fmt: skip
     drain_grace: Annotated[
         float,
-        _meta("in which sends to a draining server end", SECONDS, "drain_grace", "they end at once", ge=0),
+        _meta(
+            "time in which a draining server may still get attempts",
+            SECONDS,
+            "drain_grace",
+            "a draining server gets no further attempts",
+            ge=0,
+        ),
     ]
     cold_from: Annotated[
-        float, _meta("of its capacity that a server starts with", SHARE, "cold_from", gt=0, le=1)
+        float, _meta("part of its capacity that a server has when it starts", SHARE, "cold_from", gt=0, le=1)
     ]
-    cold: Annotated[float, _meta("after which a server is warm", SECONDS, "cold_for", ge=0)]
+    cold: Annotated[float, _meta("time until a server has its full capacity", SECONDS, "cold_for", ge=0)]
     fall_multiple: Annotated[
-        float, _meta("multiple of its present capacity that a cold server bears", "", "fall_multiple", gt=0)
+        float,
+        _meta(
+            "multiple of its current capacity that a cold server withstands",
+            "",
+            "fall_multiple",
+            gt=0,
+        ),
     ]
     overload_for: Annotated[
         float,
-        _meta("for which it bears more", SECONDS, "fall_within", "the cold budget holds over any span", gt=0),
+        _meta(
+            "how long a cold server withstands a higher load",
+            SECONDS,
+            "fall_within",
+            "the budget of a cold server holds over any time span",
+            gt=0,
+        ),
     ]
     must_ask_in: Annotated[
-        float, _meta("longest time without a watch or a question", SECONDS, "must_ask_within", gt=0)
+        float,
+        _meta(
+            "longest time without a watch of, or a request to, discovery", SECONDS, "must_ask_within", gt=0
+        ),
     ] = 10.0
 
 
 class ObjectiveMix(Struct, kw_only=True):
     """Weights of the parts of the result."""
 
-    whole: Annotated[float, _meta("the whole day", SHARE, "goal_whole", _GOAL, ge=0)] = 1.0
-    worst_window: Annotated[float, _meta("the weakest span", SHARE, "goal_window", _GOAL, ge=0)] = 0.0
-    worst_class: Annotated[float, _meta("the weakest class", SHARE, "goal_class", _GOAL, ge=0)] = 0.0
-    worst_tenant: Annotated[float, _meta("the weakest tenant", SHARE, "goal_tenant", _GOAL, ge=0)] = 0.0
+    whole: Annotated[float, _meta("the whole day", SHARE, "goal_whole", _WEIGHT_NOT_USED, ge=0)] = 1.0
+    worst_window: Annotated[
+        float, _meta("the worst time window", SHARE, "goal_window", _WEIGHT_NOT_USED, ge=0)
+    ] = 0.0
+    worst_class: Annotated[float, _meta("the worst class", SHARE, "goal_class", _WEIGHT_NOT_USED, ge=0)] = 0.0
+    worst_tenant: Annotated[
+        float, _meta("the worst tenant", SHARE, "goal_tenant", _WEIGHT_NOT_USED, ge=0)
+    ] = 0.0
 
 
 class Charges(Struct, kw_only=True):
     """Prices."""
 
-    cross_zone: Annotated[float, _meta("of attempts across zones", POINTS, "price_crossing", ge=0)] = 0.0
-    probe: Annotated[float, _meta("of probes", POINTS, "price_probe", ge=0)] = 0.0
-    handshake: Annotated[float, _meta("of connects", POINTS, "price_handshake", _PRICE, ge=0)] = 0.0
-    connection: Annotated[float, _meta("of open connections", POINTS, "price_connection", _PRICE, ge=0)] = 0.0
-    waste: Annotated[float, _meta("of work for nothing", POINTS, "price_waste", _PRICE, ge=0)] = 0.0
+    cross_zone: Annotated[float, _meta("price of attempts across zones", POINTS, "price_crossing", ge=0)] = (
+        0.0
+    )
+    probe: Annotated[float, _meta("price of probes", POINTS, "price_probe", ge=0)] = 0.0
+    handshake: Annotated[
+        float, _meta("price of new connections", POINTS, "price_handshake", _PRICE_NOT_USED, ge=0)
+    ] = 0.0
+    connection: Annotated[
+        float, _meta("price of open connections", POINTS, "price_connection", _PRICE_NOT_USED, ge=0)
+    ] = 0.0
+    waste: Annotated[float, _meta("price of wasted work", POINTS, "price_waste", _PRICE_NOT_USED, ge=0)] = 0.0
     late_fail: Annotated[
-        float, _meta("of failures past the objective", POINTS, "price_late_fail", _PRICE, ge=0)
+        float,
+        _meta("price of failures after the objective", POINTS, "price_late_fail", _PRICE_NOT_USED, ge=0),
     ] = 0.0
-    peer: Annotated[float, _meta("of messages to peers", POINTS, "price_peer", _PRICE, ge=0)] = 0.0
-    discovery: Annotated[float, _meta("of lists", POINTS, "price_discovery", _PRICE, ge=0)] = 0.0
-    moves: Annotated[float, _meta("of moves", POINTS, unused=_PRICE)] = 0.0
-    origin: Annotated[float, _meta("of fetches from the origin", POINTS, unused=_PRICE)] = 0.0
-    fleet: Annotated[float, _meta("not used by the platform", POINTS, unused=_PRICE)] = 0.0
+    peer: Annotated[
+        float, _meta("price of messages to other proxies", POINTS, "price_peer", _PRICE_NOT_USED, ge=0)
+    ] = 0.0
+    discovery: Annotated[
+        float, _meta("price of lists from discovery", POINTS, "price_discovery", _PRICE_NOT_USED, ge=0)
+    ] = 0.0
+    moves: Annotated[float, _meta("price of moves", POINTS, no_effect=_PRICE_NOT_USED)] = 0.0
+    origin: Annotated[float, _meta("price of fetches from the origin", POINTS, no_effect=_PRICE_NOT_USED)] = (
+        0.0
+    )
+    fleet: Annotated[float, _meta("not used by the platform", POINTS, no_effect=_PRICE_NOT_USED)] = 0.0
 
 
 class Specifics(Struct, kw_only=True):
-    """Facts about the kind of service."""
+    """Properties of the kind of service."""
 
     passes_deadline: Annotated[
-        bool, _meta("servers hand on the time left", reads="passes_deadline", unused=_NO_RULE)
+        bool,
+        _meta(
+            "whether servers pass the remaining time on with their own calls",
+            attribute="passes_deadline",
+            no_effect=_NOT_USED,
+        ),
+    ] = False
+    warm_keys: Annotated[
+        bool, _meta("whether a recently served key takes less work", no_effect=_NOT_USED)
     ] = False
-    warm_keys: Annotated[bool, _meta("a key served lately takes less work", unused=_NO_RULE)] = False
 
 
 class Settings(Struct, kw_only=True):
-    """What the platform tells an instance of the site and its place in it."""
+    """What the platform tells a proxy about the site and its place in it."""
 
-    grades: Annotated[list[Grade], Meta(min_length=1, description="the classes, each of its own name")]
+    grades: Annotated[list[Grade], Meta(min_length=1, description="the classes; their names are unique")]
     me: Annotated[
-        int, _meta("this proxy's number among `balancers`, from 0", reads="me", ge=0, le=MOST_COUNT)
+        int, _meta("this proxy's number among `balancers`, from 0", attribute="me", ge=0, le=MOST_COUNT)
     ]
     balancers: Annotated[int, _meta("proxies of this tier", "proxies", "balancers", ge=1, le=MOST_COUNT)]
     discovery: Annotated[
-        Literal["push", "ask"], _meta("changes come unasked, or on a watch", reads="ask_for_list")
+        Literal["push", "ask"],
+        _meta("push: discovery sends changes unasked; ask: proxies watch for them", attribute="ask_for_list"),
     ]
     policy_limits: PolicyLimits
     contract: Contract
     tenants: Annotated[list[Tenant], Meta(description="the tenants, where there are any")] = []
-    zone: Annotated[str, _meta("this proxy's zone", reads="zone")] = ""
-    dcs: Annotated[list[str], _meta("the zones", reads="zones", unused="lists name each server's zone")] = []
-    kinds: Annotated[list[str], _meta("kinds of machine", reads="kinds", unused=_NO_RULE)] = []
-    quantum: Annotated[float, _meta("least time between two batches", SECONDS, "quantum", ge=0)] = 0.0
+    zone: Annotated[str, _meta("this proxy's zone", attribute="zone")] = ""
+    dcs: Annotated[
+        list[str], _meta("the zones", attribute="zones", no_effect="lists name each server's zone")
+    ] = []
+    kinds: Annotated[list[str], _meta("types of machines", attribute="kinds", no_effect=_NOT_USED)] = []
+    quantum: Annotated[
+        float, _meta("shortest time between two batches of events", SECONDS, "quantum", ge=0)
+    ] = 0.0
     stage: Annotated[
-        int, _meta("this tier's place in `stages`, from 0", reads="stage", ge=0, le=MOST_COUNT)
+        int, _meta("this tier's place in `stages`, from 0", attribute="stage", ge=0, le=MOST_COUNT)
     ] = 0
     stages: Annotated[
-        list[str], _meta("the tiers, which share the budget of calls done anew", reads="stages")
+        list[str], _meta("the tiers; they share the budget of hedged requests", attribute="stages")
     ] = []
     weights: Annotated[
         Literal["off", "nominal", "rough", "live"],
-        _meta("what a listed weight means", reads="weights", unused="weights are used as listed"),
+        _meta("what a listed weight means", attribute="weights", no_effect="weights are used as listed"),
     ] = "nominal"
     worth_by: Annotated[
-        Literal["request", "work"], _meta("value is of a request, or of its work", reads="worth_by_work")
+        Literal["request", "work"],
+        _meta("whether `value` is per request or per unit of its work", attribute="worth_by_work"),
     ] = "request"
     over_share_worth: Annotated[
-        float, _meta("of the worth, beyond a tenant's quota", SHARE, "over_share_worth", ge=0, le=1)
+        float,
+        _meta(
+            "part of the worth that a request beyond a tenant's quota keeps",
+            SHARE,
+            "over_share_worth",
+            ge=0,
+            le=1,
+        ),
     ] = 1.0
     callers: Callers = msgspec.field(default_factory=Callers)
     report: Report = msgspec.field(default_factory=Report)
     objective_mix: ObjectiveMix = msgspec.field(default_factory=ObjectiveMix)
     charges: Charges = msgspec.field(default_factory=Charges)
     specifics: Specifics = msgspec.field(default_factory=Specifics)
-    family: Annotated[str, _meta("kind of service", unused=_NO_RULE)] = ""
+    family: Annotated[str, _meta("kind of service", no_effect=_NOT_USED)] = ""
 
 
 class Endpoint(Struct, kw_only=True):
     """A server as discovery lists it."""
 
     name: str
-    address: Annotated[str, Meta(description="host:port, the host numeric")]
+    address: Annotated[str, Meta(description="host:port, a numeric host")]
     status: Literal["Ready", "Terminating", "Gone"]
     zone: str = ""
     type: str = ""
     group: int = 0
     weight: float = 1.0
-    since_ms: Annotated[float | None, _meta("wall time of its latest start; 0: long ago", "ms")] = 0.0
+    since_ms: Annotated[float | None, _meta("Unix time of its latest start; 0: long ago", "ms")] = 0.0
 
 
 class Known(Struct, kw_only=True):
-    """The list of servers as last held."""
+    """The saved list of servers."""
 
     index: int
     snapshot: bool
@@ -250,28 +363,26 @@
 
 class Limits(Struct, kw_only=True):
     sockets: Annotated[
-        int, _meta("file descriptors; at most what the process may open", "descriptors", ge=64)
+        int, _meta("file descriptors; the limit of the process is an upper bound", "descriptors", ge=64)
     ] = 1 << 20
-    memory_mb: Annotated[float, _meta("memory", MEGABYTES, gt=0, lt=1 << 30)] = 192.0
-    cores: Annotated[float, _meta("processor", "cores", unused="the platform holds it")] = 1.0
+    memory_mb: Annotated[float, _meta("memory of the process", MEGABYTES, gt=0, lt=1 << 30)] = 192.0
+    cores: Annotated[float, _meta("CPU cores", "cores", no_effect="enforced by the platform")] = 1.0
 
 
 class ConfigFile(Struct, kw_only=True):
     """The file that EDGE_CONFIG names."""
 
     settings: Settings
-    listen: Annotated[str, Meta(description="host:port, the host numeric; EDGE_LISTEN comes first")] = ""
-    discovery: Annotated[str, Meta(description="host:port, the host numeric; EDGE_DISCOVERY comes first")] = (
-        ""
-    )
-    name: Annotated[str, Meta(description="of the proxy; EDGE_NAME comes first")] = ""
-    seed: Annotated[int | str, Meta(description="of chance; a string is hexadecimal")] = 0
+    listen: Annotated[str, Meta(description="host:port, a numeric host; EDGE_LISTEN overrides it")] = ""
+    discovery: Annotated[str, Meta(description="host:port, a numeric host; EDGE_DISCOVERY overrides it")] = ""
+    name: Annotated[str, Meta(description="name of the proxy; EDGE_NAME overrides it")] = ""
+    seed: Annotated[int | str, Meta(description="random seed; a string is hexadecimal")] = 0
     limits: Limits = msgspec.field(default_factory=Limits)
     known: Known | None = None
 
 
-def published() -> str:
-    """The JSON Schema of the file, as docs/config.schema.json holds it."""
+def render_json_schema() -> str:
+    """Returns the JSON Schema of the file, the content of docs/config.schema.json."""
     schema: dict[str, Any] = {"$schema": "https://json-schema.org/draft/2020-12/schema"}
     schema |= msgspec.json.schema(ConfigFile)
     return json.dumps(schema, indent=2) + "\n"
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The commands as a user meets them: what they print, and one plain line and exit code 2 for each fault."""
+"""Tests the output and exit codes of the commands; a user's mistake is one line and exit code 2."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 
 
 def command(*arguments: object, before: str = "pass") -> subprocess.CompletedProcess[str]:
-    """`granitepoint ARGUMENTS` as a process of its own; `before` is code that runs first."""
+    """Runs `granitepoint ARGUMENTS` in a process of its own, after the code `before`."""
     code = f"import sys; {before}; from granitepoint.__main__ import main; sys.exit(main())"
-    words = [sys.executable, "-c", code, *map(str, arguments)]
-    return subprocess.run(words, capture_output=True, text=True, cwd=ROOT, timeout=60)
+    command_line = [sys.executable, "-c", code, *map(str, arguments)]
+    return subprocess.run(command_line, capture_output=True, text=True, cwd=ROOT, timeout=60)
 
 
-def test_run_alone_is_as_no_argument_and_imports_nothing_of_the_command_line() -> None:
+def test_run_equals_no_arguments_and_does_not_import_the_command_line() -> None:
     for arguments in ([], ["run"]):
-        started = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-X", "importtime", "-m", "granitepoint", *arguments],
             capture_output=True, text=True, cwd=ROOT, env={}, timeout=60,
         )  # fmt: skip
-        assert started.returncode == 2
-        assert started.stderr.endswith("granitepoint: bad configuration: EDGE_CONFIG is not set\n")
-        imported = {line.rpartition("|")[2].strip() for line in started.stderr.splitlines()}
+        assert process.returncode == 2
+        assert process.stderr.endswith("granitepoint: bad configuration: EDGE_CONFIG is not set\n")
+        imported = {line.rpartition("|")[2].strip() for line in process.stderr.splitlines()}
         assert "granitepoint.net.driver" in imported
         assert not imported & {"granitepoint.cli", "cyclopts", "msgspec", "rich"}
 
 
 def test_a_missing_library_is_one_line_that_names_the_extra() -> None:
-    done = command("version", before="sys.modules['cyclopts'] = None")
+    result = command("version", before="sys.modules['cyclopts'] = None")
     line = "granitepoint: commands other than run need cyclopts: pip install 'granitepoint[cli]'\n"
-    assert (done.returncode, done.stdout, done.stderr) == (2, "", line)
-    done = command("emulate", "day.toml", before="sys.modules['hdrh.histogram'] = None")
+    assert (result.returncode, result.stdout, result.stderr) == (2, "", line)
+    result = command("emulate", "day.toml", before="sys.modules['hdrh.histogram'] = None")
     line = "granitepoint: emulate needs hdrh.histogram: pip install 'granitepoint[fleet]'\n"
-    assert (done.returncode, done.stdout, done.stderr) == (2, "", line)
+    assert (result.returncode, result.stdout, result.stderr) == (2, "", line)
 
 
 @pytest.mark.parametrize("name, raw, line", [
@@ -60,7 +60,7 @@
     ("odd\n\x1b.json", None, "odd \\x1b.json: No such file or directory"),
 ])  # fmt: skip
 @pytest.mark.parametrize("command", ["check", "explain"])
-def test_a_file_that_cant_be_used_is_one_plain_line(
+def test_an_unusable_file_is_reported_on_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], command: str, name: str, raw: bytes | None, line: str
 ) -> None:
     if raw is not None:
@@ -68,9 +68,9 @@
     if name == "huge.json":
         os.truncate(tmp_path / name, 1 << 30)
     assert main([command, str(tmp_path / name)]) == 2
-    said = capsys.readouterr().err
-    assert said.startswith("granitepoint: ") and line in said
-    assert said.count("\n") == 1 and said.strip().isprintable()
+    output = capsys.readouterr().err
+    assert output.startswith("granitepoint: ") and line in output
+    assert output.count("\n") == 1 and output.strip().isprintable()
 
 
 def test_wrong_arguments_and_help(capsys: pytest.CaptureFixture[str]) -> None:
@@ -81,57 +81,60 @@
         (["run", "fast"], "Unused Tokens: ['fast']."),
     ):
         assert main(arguments) == 2
-        said = capsys.readouterr()
-        assert line in said.err and said.err.count("\n") == 1 and not said.out
+        output = capsys.readouterr()
+        assert line in output.err and output.err.count("\n") == 1 and not output.out
     for arguments in (["--help"], ["check", "--help"], ["explain", "--help"]):
         assert main(arguments) == 0
         assert "times are in seconds (s)" in capsys.readouterr().out
 
 
-def test_check_heeds_the_variables_and_prints_json(
+def test_check_applies_the_variables_and_prints_json(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("EDGE_CONFIG", str(EXAMPLE))
     monkeypatch.setenv("EDGE_NAME", "other")
     assert main(["check", "--json"]) == 0
-    said = json.loads(capsys.readouterr().out)
-    assert said["in_force"][0] == {"path": "name", "value": "other", "unit": "", "source": "EDGE_NAME"}
-    assert {"kind": "unknown", "path": "settings.colour", "message": "no such setting"} in said["findings"]
+    output = json.loads(capsys.readouterr().out)
+    assert output["in_force"][0] == {"path": "name", "value": "other", "unit": "", "source": "EDGE_NAME"}
+    assert {"kind": "unknown", "path": "settings.colour", "message": "no such setting"} in output["findings"]
     monkeypatch.setenv("EDGE_LOG_FORMAT", "json")
     monkeypatch.setenv("EDGE_LOG_LEVEL", "loud")
     assert main(["check", "--json"]) == 2
-    told = capsys.readouterr()
-    rows = {row["path"]: (row["value"], row["source"]) for row in json.loads(told.out)["in_force"]}
+    captured = capsys.readouterr()
+    rows = {row["path"]: (row["value"], row["source"]) for row in json.loads(captured.out)["in_force"]}
     assert rows["EDGE_LOG_FORMAT"] == ("json", "EDGE_LOG_FORMAT") and "EDGE_LOG_LEVEL" not in rows
-    assert "out of range: EDGE_LOG_LEVEL: EDGE_LOG_LEVEL is debug, info, warning or error" in told.err
+    assert "out of range: EDGE_LOG_LEVEL: EDGE_LOG_LEVEL is debug, info, warning or error" in captured.err
 
 
-def test_output_that_finds_no_room_or_no_reader_is_no_traceback() -> None:
-    nobody = "import os; r, w = os.pipe(); os.close(r); os.dup2(w, 1)"
+def test_full_or_closed_output_causes_no_traceback() -> None:
+    no_reader = "import os; r, w = os.pipe(); os.close(r); os.dup2(w, 1)"
     full, closed = "sys.stdout = open('/dev/full', 'w')", "import os; os.close(1)"
-    for before, code, lines in ((full, 1, 1), (closed, 1, 1), (nobody, 141, 0)):
-        done = command("check", EXAMPLE, before=before)
-        assert (done.returncode, done.stderr.count("\n")) == (code, lines), done.stderr
+    for before, code, lines in ((full, 1, 1), (closed, 1, 1), (no_reader, 141, 0)):
+        result = command("check", EXAMPLE, before=before)
+        assert (result.returncode, result.stderr.count("\n")) == (code, lines), result.stderr
 
 
 def explained(tmp_path: Path, **changes: object) -> dict[str, dict[str, object]]:
+    """Returns {section: {name: value}} of `explain` for a configuration with the given changes."""
     known = listing(1, endpoint("a", "127.0.0.1:9"), endpoint("b", "127.0.0.1:8", zone="b"))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config("127.0.0.1:9", known, "127.0.0.1:8", **changes)))
     sections = explain(load({"EDGE_CONFIG": str(path)}))
-    return {part.title: {entry.name: entry.value for entry in part.entries} for part in sections}
+    return {section.title: {entry.name: entry.value for entry in section.entries} for section in sections}
 
 
-def test_explain_tells_the_figures_that_are_used(tmp_path: Path) -> None:
+def test_explain_reports_the_values_in_use(tmp_path: Path) -> None:
     tenants = [{"name": "t", "quota_rps": 8.0}]
-    said = explained(tmp_path, tenants=tenants, balancers=4, charges={"probe": 1.0}, sockets=1000)
-    assert said["class stock"]["attempts"] == 5 and said["class reserva"]["window"] == 6.0
-    assert said["class stock"]["answered by"] == 1.18 and "window" not in said["class canje"]
-    assert said["tenants"] == {"tenant t": 2.0, "past a quota": 1.0}
-    assert said["servers"]["used"] == 2 and said["servers"]["a server's part"] == 0.5
-    assert said["servers"]["cold budget, first"] == pytest.approx(0.16 * logic.COLD_SHARE * 3.0)
-    assert said["probes"]["for one call"] == 0 and said["discovery"]["first watch"] == pytest.approx(4 * 0.02)
-    assert said["connections and memory"]["to servers"] == 400
+    values = explained(tmp_path, tenants=tenants, balancers=4, charges={"probe": 1.0}, sockets=1000)
+    assert values["class stock"]["attempts"] == 5 and values["class reserva"]["window"] == 6.0
+    assert values["class stock"]["answered by"] == 1.18 and "window" not in values["class canje"]
+    assert values["tenants"] == {"tenant t": 2.0, "past a quota": 1.0}
+    assert values["servers"]["used"] == 2 and values["servers"]["a server's part"] == 0.5
+    assert values["servers"]["cold budget, first"] == pytest.approx(0.16 * logic.COLD_SHARE * 3.0)
+    assert values["probes"]["for one call"] == 0 and values["discovery"]["first watch"] == pytest.approx(
+        4 * 0.02
+    )
+    assert values["connections and memory"]["to servers"] == 400
     assert "doubted" not in explained(tmp_path, discovery="push")["discovery"]
     assert explained(tmp_path, stage=2000)["class stock"]["attempts"] == 5
     with pytest.raises(ConfigError, match="setting stage is out of range"):
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -1,4 +1,4 @@
-"""The schema of the file, `check`'s reading of it and `run`'s own reader: the three agree on any JSON."""
+"""Verifies that the schema of the configuration file, `check` and `run` agree on any JSON content."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 from granitepoint.benchlink import REPORT_VIA, WEIGHTS
 from granitepoint.cli import schema
-from granitepoint.cli.check import DOUBTFUL, NO_EFFECT, OUT_OF_RANGE, UNKNOWN, read
+from granitepoint.cli.check import DOUBTFUL, NO_EFFECT, OUT_OF_RANGE, UNKNOWN, check_content
 from granitepoint.interface import Effect, Settings
 from granitepoint.net.config import Config, ConfigError, load
 from granitepoint.net.listing import read_listing
 
-MANY = hypothesis_settings(
+PROPERTY_TEST = hypothesis_settings(
     max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
 )
 
 
-def whole_file() -> dict[str, Any]:
-    """A file with each key of the schema."""
+def complete_file() -> dict[str, Any]:
+    """Returns the content of a file that has every key of the schema."""
     raw = config("127.0.0.1:9", listing(1, endpoint("b0", "127.0.0.1:9")), "127.0.0.1:8")
     raw["settings"] |= {
         "tenants": [{"name": "t", "quota_rps": 4.0, "portion": 0.5}, {"name": "u", "quota_rps": 0}],
@@ -56,14 +56,14 @@
     None, True, False, 0, 1, -1, 63, 64, 1 << 70, -0.0, 0.5, 1.5, 5.0, -1e-320, 1e-320, math.nan, math.inf,
     "", "0", " 5 ", "1_0", "1e3", "true", "none", "ask", "once", "cell", "a,b", "live", "off", "127.0.0.1:80",
 ]  # fmt: skip
-HOLDERS: list[Any] = [
+CONTAINERS: list[Any] = [
     [], ["a"], ["busy_reqs", "x"], [{}], {}, {"count": 1}, {"count": "", "0": {}}, {"a": None},
     {"endpoints": []}, {"index": 1, "snapshot": 0, "endpoints": []}, {"sockets": None}, {"memory_mb": "9"},
 ]  # fmt: skip
-ODD: st.SearchStrategy[Any] = st.sampled_from(SCALARS + HOLDERS)
+UNUSUAL_VALUES: st.SearchStrategy[Any] = st.sampled_from(SCALARS + CONTAINERS)
 KEYS = st.text(max_size=8) | st.sampled_from(["contract.cold", "grades.count", "grades.0.name"])
-ANY: st.SearchStrategy[Any] = st.recursive(
-    ODD | st.integers() | st.floats() | st.text(max_size=8),
+ANY_JSON: st.SearchStrategy[Any] = st.recursive(
+    UNUSUAL_VALUES | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=8), inner, max_size=3),
     max_leaves=6,
 )
@@ -71,25 +71,25 @@
 
 @st.composite
 def files(draw: st.DrawFn) -> Any:
-    """The whole file with a few places changed, removed or added to; now and then anything at all."""
-    raw = whole_file()
+    """Draws a complete file with up to three places set, removed, added or doubled; at times any JSON."""
+    raw = complete_file()
     for _ in range(draw(st.integers(0, 3))):
         *outer, last = draw(st.sampled_from(paths(raw)))
         holder = reduce(lambda value, key: value[key], outer, raw)
         change = draw(st.sampled_from(["set", "remove", "add", "double"]))
         if change == "set":
-            holder[last] = copy.deepcopy(draw(ANY))  # those of HOLDERS are shared
+            holder[last] = copy.deepcopy(draw(ANY_JSON))  # a value from CONTAINERS is shared between draws
         elif change == "remove":
             del holder[last]
         elif change == "double" and isinstance(holder, list):
             holder.append(copy.deepcopy(holder[last]))
         elif isinstance(holder, dict):
-            holder[draw(KEYS)] = copy.deepcopy(draw(ANY))
-    return raw if draw(st.integers(0, 9)) else draw(ANY)
+            holder[draw(KEYS)] = copy.deepcopy(draw(ANY_JSON))
+    return raw if draw(st.integers(0, 9)) else draw(ANY_JSON)
 
 
-def run_reads(text: str) -> Config | ConfigError:
-    """What `run` makes of a file, with the list of servers that it takes from it right after."""
+def load_as_run(text: str) -> Config | ConfigError:
+    """Loads a file and the list of servers in it, as `run` does. Returns the error if there is one."""
     with tempfile.NamedTemporaryFile("w", encoding="utf-8", suffix=".json") as file:
         file.write(text)
         file.flush()
@@ -98,20 +98,22 @@
             if config.known:
                 read_listing(config.known)
             return config
-        except (ConfigError, ValueError) as fault:
-            return ConfigError(str(fault))
+        except (ConfigError, ValueError) as error:
+            return ConfigError(str(error))
 
 
 STRUCTS: dict[str, Any] = {field.name: field.type for field in msgspec.structs.fields(schema.Settings)}
 STRUCTS = {name: kind for name, kind in STRUCTS.items() if isinstance(kind, type)}
 STRUCTS |= {"settings": schema.Settings, "grades": schema.Grade, "tenants": schema.Tenant}
-DESCRIBED: dict[str, dict[str, str]] = {  # by the last two names of a setting's path
-    f"{struct}.{field.name}": field.type.__metadata__[0].extra
-    for struct, held in STRUCTS.items()
-    for field in msgspec.structs.fields(held)
+FIELD_METADATA: dict[str, dict[str, str]] = {  # key: the last two names of the path of a setting
+    f"{name}.{field.name}": field.type.__metadata__[0].extra
+    for name, struct in STRUCTS.items()
+    for field in msgspec.structs.fields(struct)
     if hasattr(field.type, "__metadata__") and field.type.__metadata__[0].extra
 }
-AS_HELD: dict[str, Callable[[Any, Any], Any]] = {  # a value in the form of the interface's types
+TO_SETTINGS_VALUE: dict[
+    str, Callable[[Any, Any], Any]
+] = {  # attribute -> conversion of a value read by `check` to the one in interface.Settings
     "effect": lambda value, settings: Effect(value),
     "ask_for_list": lambda value, settings: value == "ask",
     "weights": lambda value, settings: WEIGHTS[value],
@@ -121,85 +123,86 @@
 }
 
 
-def is_held(path: str, value: Any, settings: Settings) -> bool:
-    """Whether `run`'s settings hold what `check` read at a path."""
+def settings_hold(path: str, value: Any, settings: Settings) -> bool:
+    """Returns whether the settings of `run` hold the value that `check` read at a path."""
     steps = path.split(".")
     lists: dict[str, Any] = {"grades": settings.classes, "tenants": settings.tenants}
     owner = lists[steps[1]][int(steps[2])] if steps[1] in lists else settings
-    reads = DESCRIBED[".".join([step for step in steps if not step.isdigit()][-2:])]["reads"]
-    as_held = AS_HELD.get(reads, lambda value, settings: value)
-    return not reads or getattr(owner, reads) == as_held(value, settings)
+    attribute = FIELD_METADATA[".".join([step for step in steps if not step.isdigit()][-2:])]["attribute"]
+    convert = TO_SETTINGS_VALUE.get(attribute, lambda value, settings: value)
+    return not attribute or getattr(owner, attribute) == convert(value, settings)
 
 
-def agree(raw: Any) -> None:
+def assert_check_and_run_agree(raw: Any) -> None:
+    """Both accept the content and read the same values, or both reject it and `check` names the path."""
     text = json.dumps(raw)
-    made, reading = run_reads(text), read(json.loads(text), {})
-    faults = [finding for finding in reading.findings if finding.kind == OUT_OF_RANGE]
-    assert isinstance(made, Config) == (not faults), (made, faults)
-    assert not [fault for fault in faults if fault.path == "settings" and "missing" not in fault.message]
-    if isinstance(made, ConfigError):
-        assert len(str(made).splitlines()) == 1
+    loaded, result = load_as_run(text), check_content(json.loads(text), {})
+    errors = [finding for finding in result.findings if finding.kind == OUT_OF_RANGE]
+    assert isinstance(loaded, Config) == (not errors), (loaded, errors)
+    assert not [error for error in errors if error.path == "settings" and "missing" not in error.message]
+    if isinstance(loaded, ConfigError):
+        assert len(str(loaded).splitlines()) == 1
         return
-    rows = {row.path: row for row in reading.rows}
-    said = [rows[path].value for path in ("name", "limits.sockets", "limits.memory_mb", "seed")]
-    assert said == [made.name, made.sockets, made.memory_mb, f"{made.seed:x}"]
+    rows = {row.path: row for row in result.rows}
+    checked = [rows[path].value for path in ("name", "limits.sockets", "limits.memory_mb", "seed")]
+    assert checked == [loaded.name, loaded.sockets, loaded.memory_mb, f"{loaded.seed:x}"]
     for path, row in rows.items():
-        assert not path.startswith("settings.") or is_held(path, row.value, made.settings), path
+        assert not path.startswith("settings.") or settings_hold(path, row.value, loaded.settings), path
 
 
-@MANY
+@PROPERTY_TEST
 @given(files())
 def test_check_and_run_agree_on_any_json(raw: Any) -> None:
-    agree(raw)
+    assert_check_and_run_agree(raw)
 
 
 def test_check_and_run_agree_on_each_key_at_its_edges() -> None:
     edges: list[Any] = [-1, 0, 0.5, 1, 1.5, 63, 64, 1 << 30, "", "other", None, True, []]
-    for *outer, last in paths(whole_file()):
+    for *outer, last in paths(complete_file()):
         for value in edges:
-            raw = whole_file()
+            raw = complete_file()
             reduce(lambda inner, key: inner[key], outer, raw)[last] = value
-            agree(raw)
+            assert_check_and_run_agree(raw)
 
 
-@MANY
+@PROPERTY_TEST
 @given(files())
 def test_what_fits_the_published_schema_is_in_range(raw: Any) -> None:
-    """But for what it can't say: two classes of one name, a 5.0 that `run` takes for no whole number, a key
-    with a dot, which `run` takes for the key inside."""
+    """Except for what the schema can't express: two classes with the same name; 5.0, which `run` rejects as a
+    whole number; a key with a dot, which `run` reads as a nested key."""
     try:
         text = json.dumps(raw, allow_nan=False)
         msgspec.convert(raw, schema.ConfigFile)
     except ValueError:  # ValidationError is one
         return
-    beside = ("listen", "discovery", "seed", "limits.sockets", "known")
-    for finding in read(raw, {}).findings if not re.search(r'"[^"]*\.[^"]*": ', text) else ():
-        if finding.kind == OUT_OF_RANGE and not finding.path.startswith(beside):
-            assert re.search("is the name of|not a whole", finding.message), finding
+    not_in_schema = ("listen", "discovery", "seed", "limits.sockets", "known")
+    for finding in check_content(raw, {}).findings if not re.search(r'"[^"]*\.[^"]*": ', text) else ():
+        if finding.kind == OUT_OF_RANGE and not finding.path.startswith(not_in_schema):
+            assert re.search("is already the name of|not a whole", finding.message), finding
 
 
 @pytest.mark.parametrize("field, value, message", [
-    ("settings.grades.1.deadline", 0, "0.0 must be more than 0"),
-    ("settings.grades.1.name", "stock", "'stock' is the name of settings.grades.0 too"),
+    ("settings.grades.1.deadline", 0, "0.0 must be greater than 0"),
+    ("settings.grades.1.name", "stock", "'stock' is already the name of settings.grades.0"),
     ("settings.tenants.0.quota_rps", math.inf, "'inf' is not finite"),
     ("known.endpoints.0", {"name": "b"}, "malformed list: KeyError('status')"),
 ])  # fmt: skip
-def test_a_fault_is_told_with_its_path(field: str, value: Any, message: str) -> None:
-    raw = whole_file()
+def test_an_error_is_reported_with_its_path(field: str, value: Any, message: str) -> None:
+    raw = complete_file()
     *outer, last = [int(step) if step.isdigit() else step for step in field.split(".")]
     reduce(lambda inner, key: inner[key], outer, raw)[last] = value  # type: ignore[index]
-    faults = [finding for finding in read(raw, {}).findings if finding.kind == OUT_OF_RANGE]
-    assert [(fault.path, fault.message) for fault in faults] == [(field, message)]
+    errors = [finding for finding in check_content(raw, {}).findings if finding.kind == OUT_OF_RANGE]
+    assert [(error.path, error.message) for error in errors] == [(field, message)]
 
 
-def test_all_faults_and_all_unknown_keys_are_told_and_variables_come_first() -> None:
-    raw = whole_file()
-    assert {finding.kind for finding in read(raw, {}).findings} == {NO_EFFECT}
+def test_all_errors_and_unknown_keys_are_reported_and_variables_override_the_file() -> None:
+    raw = complete_file()
+    assert {finding.kind for finding in check_content(raw, {}).findings} == {NO_EFFECT}
     msgspec.convert(raw, schema.ConfigFile)
     raw |= {"limits": {"sockets": 10, "memory_mb": -1, "cores": 1}, "extra": 1, "discovery": "nowhere"}
     raw["settings"] |= {"me": -1, "quantum": "soon", "colour": {"a": 1, "b": {"c": 2}}}
     del raw["settings"]["contract"]["cold"]
-    findings = read(raw, {"EDGE_DISCOVERY": "127.0.0.1:7"}).findings
+    findings = check_content(raw, {"EDGE_DISCOVERY": "127.0.0.1:7"}).findings
     found = {(finding.kind, finding.path) for finding in findings}
     assert {path for kind, path in found if kind == OUT_OF_RANGE} == {
         "limits.sockets", "limits.memory_mb", "settings.me", "settings.quantum", "settings.contract.cold",
@@ -208,46 +211,46 @@
     assert {(NO_EFFECT, "limits.cores"), (NO_EFFECT, "settings.family")} <= found
 
 
-def test_what_is_hardly_meant_is_told_and_is_no_fault() -> None:
-    raw = whole_file() | {"limits": {"memory_mb": 19}}
+def test_doubtful_values_are_reported_and_are_no_errors() -> None:
+    raw = complete_file() | {"limits": {"memory_mb": 19}}
     raw["settings"] |= {"me": 1, "stage": 1}
     raw["settings"]["grades"][1] |= {"window": 0, "objective": 5.0}
-    reading = read(raw, {})
+    result = check_content(raw, {})
     settings = ["me", "stage", "grades.1.objective", "grades.1.window"]
-    doubts = {"limits.memory_mb"} | {f"settings.{path}" for path in settings}
-    assert reading.usable
-    assert {finding.path for finding in reading.findings if finding.kind == DOUBTFUL} == doubts
+    doubtful = {"limits.memory_mb"} | {f"settings.{path}" for path in settings}
+    assert result.usable
+    assert {finding.path for finding in result.findings if finding.kind == DOUBTFUL} == doubtful
 
 
 @pytest.mark.parametrize("host", ["[::1]", "[]", "here", "\x00", "..", "1.2.3", ""])
 @pytest.mark.parametrize("key", ["listen", "discovery"])
 def test_a_host_that_is_no_ipv4_address_is_out_of_range(key: str, host: str) -> None:
-    raw = whole_file() | {key: f"{host}:80"}
-    findings = read(raw, {}).findings
+    raw = complete_file() | {key: f"{host}:80"}
+    findings = check_content(raw, {}).findings
     assert [finding.path for finding in findings if finding.kind == OUT_OF_RANGE] == [key]
-    assert isinstance(run_reads(json.dumps(raw)), ConfigError)
+    assert isinstance(load_as_run(json.dumps(raw)), ConfigError)
 
 
 @pytest.mark.parametrize("seed", ["f" * 65, 1 << 256, -(1 << 256)], ids=["text", "over", "under"])
-def test_a_seed_that_nothing_can_print_is_out_of_range(seed: object) -> None:
-    raw = whole_file() | {"seed": seed}
-    findings = read(raw, {}).findings
+def test_a_seed_over_256_bits_is_out_of_range(seed: object) -> None:
+    raw = complete_file() | {"seed": seed}
+    findings = check_content(raw, {}).findings
     assert [finding.path for finding in findings if finding.kind == OUT_OF_RANGE] == ["seed"]
-    assert isinstance(run_reads(json.dumps(raw)), ConfigError)
+    assert isinstance(load_as_run(json.dumps(raw)), ConfigError)
 
 
-def test_a_fault_shows_no_control_characters_of_the_file() -> None:
-    raw = whole_file()
+def test_an_error_message_has_no_control_characters_of_the_file() -> None:
+    raw = complete_file()
     raw["settings"]["grades"][0] |= {"name": "\x1b[31mred", "deadline": -1}
-    fault = run_reads(json.dumps(raw))
-    assert isinstance(fault, ConfigError) and "[31mred deadline" in str(fault) and str(fault).isprintable()
+    error = load_as_run(json.dumps(raw))
+    assert isinstance(error, ConfigError) and "[31mred deadline" in str(error) and str(error).isprintable()
 
 
 def test_the_published_schema_is_current() -> None:
-    assert (ROOT / "docs" / "config.schema.json").read_text(encoding="utf-8") == schema.published()
+    assert (ROOT / "docs" / "config.schema.json").read_text(encoding="utf-8") == schema.render_json_schema()
 
 
-def test_what_the_schema_says_has_no_effect_is_used_nowhere_and_all_else_is() -> None:
+def test_keys_without_effect_are_used_nowhere_and_all_others_are_used() -> None:
     used: dict[str, set[str]] = {"settings": set(), "cls": set(), "t": set()}
     package = ROOT / "granitepoint"
     parts = [path for part in ("net", "membership") for path in (package / part).glob("*.py")]
@@ -256,7 +259,7 @@
             if isinstance(node, ast.Attribute):
                 owner = getattr(node.value, "attr", getattr(node.value, "id", ""))
                 used.get(owner, set()).add(node.attr)
-    for key, described in DESCRIBED.items():
+    for key, described in FIELD_METADATA.items():
         owner = {"grades": "cls", "tenants": "t"}.get(key.partition(".")[0], "settings")
-        if described["reads"]:
-            assert (described["reads"] in used[owner]) == (not described["unused"]), key
+        if described["attribute"]:
+            assert (described["attribute"] in used[owner]) == (not described["no_effect"]), key
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The examples in the README run as they stand."""
+"""Runs the examples of the README and compares what they print with the page."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 def test_command_line() -> None:
-    """Each command prints what the page says, but for the numbers of versions."""
+    """Each command prints what the page shows, except for version numbers."""
     text = README.read_text(encoding="utf-8")
-    said = "".join(re.findall(r"```console\n(.*?)```", text, re.S)).splitlines(True)
-    got: list[str] = []
-    for line in said:
+    expected = "".join(re.findall(r"```console\n(.*?)```", text, re.S)).splitlines(True)
+    actual: list[str] = []
+    for line in expected:
         if line.startswith("$ "):
             program = f"{shlex.quote(sys.executable)} -m granitepoint "
-            done = subprocess.run(
+            result = subprocess.run(
                 ["sh", "-c", line[2:].replace("granitepoint ", program, 1)],
                 stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, cwd=README.parent, timeout=60,
             )  # fmt: skip
-            got += [line, *done.stdout.splitlines(True)]
+            actual += [line, *result.stdout.splitlines(True)]
     version = re.compile(r"^(\w+) \d+(\.\w+)+$")
-    assert [version.sub(r"\1", line) for line in got] == [version.sub(r"\1", line) for line in said]
-    shown = set(re.findall(r"^\$ .*?granitepoint (\w+)", "".join(said), re.M))
+    assert [version.sub(r"\1", line) for line in actual] == [version.sub(r"\1", line) for line in expected]
+    shown = set(re.findall(r"^\$ .*?granitepoint (\w+)", "".join(expected), re.M))
     assert shown == {"run", "check", "explain", "emulate", "experiment", "report", "schema", "version"}
