--- a/granitepoint/cli/app.py
+++ b/granitepoint/cli/app.py
@@ -21,14 +21,14 @@
 import cyclopts
 import msgspec
 
-from granitepoint.cli import EXIT_BAD_INPUT
+from granitepoint.cli import BAD_INPUT
 from granitepoint.cli import check as check_module
 from granitepoint.cli import explain as explain_module
 from granitepoint.cli import schema as schema_module
 from granitepoint.net.config import ConfigError, load
 
-EXIT_FAILED = 1
-EXIT_OUTPUT_CLOSED = 141  # the output is no longer read; shells report 128 + SIGPIPE (13) likewise
+FAILED = 1  # exit code
+OUTPUT_CLOSED = 141  # exit code when nobody reads the output: 128 + SIGPIPE (13), as shells report it
 HELP_EPILOGUE = (
     "Units: times are in seconds (s), rates per second (1/s), memory in MB of 2^20 bytes, bodies in KB of "
     "2^10 bytes; a share is from 0 to 1; worth and prices are in points. Exit codes: 0 success, 1 failure, "
@@ -59,11 +59,11 @@
         return _print_error(str(error))
     except BrokenPipeError:
         _discard_output()
-        return EXIT_OUTPUT_CLOSED
+        return OUTPUT_CLOSED
     except OSError as error:
         _discard_output()
         _print_error(str(error))
-        return EXIT_FAILED
+        return FAILED
     return exit_code if isinstance(exit_code, int) else 0
 
 
@@ -81,7 +81,7 @@
 def _print_error(message: str) -> int:
     """Prints a message as one line on standard error and returns the exit code for bad input."""
     print("granitepoint:", _escape_unprintable(" ".join(message.split())), file=sys.stderr)
-    return EXIT_BAD_INPUT
+    return BAD_INPUT
 
 
 def _version() -> str:
--- a/granitepoint/cli/check.py
+++ b/granitepoint/cli/check.py
@@ -225,14 +225,10 @@
         """Reads a number, boolean, string or list of strings."""
         text = self.get_text(path)
         if isinstance(info, types.ListType) and text == "":
-            self.read_paths.add(
-                path + ".count"
-            )  # an empty list is flattened to an empty text and a count of 0
+            self.read_paths.add(path + ".count")  # an empty list, as in read_list
         unit, no_effect = extra.get("unit", ""), extra.get("no_effect", "")
         in_microseconds = unit.startswith(schema.MICROSECONDS)
-        unit = (
-            unit[1:] if in_microseconds else unit
-        )  # us -> s, us/s -> s/s: the value is converted to seconds
+        unit = unit[1:] if in_microseconds else unit  # us -> s, us/s -> s/s, as _parse_value converts
         if text is None or (text == "" and path in EMPTY_IS_DEFAULT):
             if field.required:
                 self.add_error(path, "missing")
@@ -254,7 +250,7 @@
         self.result.rows.append(Row(path, value, unit, "file", not no_effect))
 
     def report_unknown(self) -> None:
-        """Reports each path that the schema doesn't have: only the topmost of a nested object."""
+        """Reports each path that the schema doesn't have; for a nested object, only its own path."""
         known_paths = _all_path_prefixes(self.read_paths)
         messages: dict[str, str] = {}
         for path in self.text_by_path:
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -1,4 +1,7 @@
-"""Explains a configuration: the limits, times and budgets that the proxy derives from it for a request."""
+"""Explains what a configuration means for a request: the limits, times and budgets that the proxy uses.
+
+The values are read from the constants and objects of the proxy itself, so they match its behaviour.
+"""
 
 from __future__ import annotations
 
--- a/granitepoint/cli/schema.py
+++ b/granitepoint/cli/schema.py
@@ -21,7 +21,8 @@
     """Returns the metadata of a field.
 
     `attribute` is the attribute of the type in granitepoint.interface that holds the value. `no_effect` is
-    the reason why the key has no effect on the proxy; empty if it has one. `bounds` are gt, ge, lt and le.
+    the reason why the key has no effect on the proxy; empty if it has one. `bounds` (gt, ge, lt, le) apply
+    to the value as read.
     """
     published = {key: value for key, value in (("unit", unit), ("noEffect", no_effect)) if value}
     extra = {"unit": unit, "attribute": attribute, "no_effect": no_effect}
@@ -62,7 +63,7 @@
     ] = "all"
     window: Annotated[float, _meta("by_key: how long they drop it", SECONDS, "window", ge=0)] = 0.0
     stream: Annotated[
-        bool, _meta("the answer is streamed", attribute="stream", no_effect="answers are sent whole")
+        bool, _meta("whether the answer is streamed", attribute="stream", no_effect="answers are sent whole")
     ] = False
     aim_stretch: Annotated[
         float,
@@ -220,7 +221,7 @@
     must_ask_in: Annotated[
         float,
         _meta(
-            "longest time without a watch of, or a request to, discovery", SECONDS, "must_ask_within", gt=0
+            "longest time without a watch at discovery or a request to it", SECONDS, "must_ask_within", gt=0
         ),
     ] = 10.0
 
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -125,16 +125,14 @@
 
 def test_explain_reports_the_values_in_use(tmp_path: Path) -> None:
     tenants = [{"name": "t", "quota_rps": 8.0}]
-    values = explained(tmp_path, tenants=tenants, balancers=4, charges={"probe": 1.0}, sockets=1000)
-    assert values["class stock"]["attempts"] == 5 and values["class reserva"]["window"] == 6.0
-    assert values["class stock"]["answered by"] == 1.18 and "window" not in values["class canje"]
-    assert values["tenants"] == {"tenant t": 2.0, "past a quota": 1.0}
-    assert values["servers"]["used"] == 2 and values["servers"]["a server's part"] == 0.5
-    assert values["servers"]["cold budget, first"] == pytest.approx(0.16 * logic.COLD_SHARE * 3.0)
-    assert values["probes"]["for one call"] == 0 and values["discovery"]["first watch"] == pytest.approx(
-        4 * 0.02
-    )
-    assert values["connections and memory"]["to servers"] == 400
+    rows = explained(tmp_path, tenants=tenants, balancers=4, charges={"probe": 1.0}, sockets=1000)
+    assert rows["class stock"]["attempts"] == 5 and rows["class reserva"]["window"] == 6.0
+    assert rows["class stock"]["answered by"] == 1.18 and "window" not in rows["class canje"]
+    assert rows["tenants"] == {"tenant t": 2.0, "past a quota": 1.0}
+    assert rows["servers"]["used"] == 2 and rows["servers"]["a server's part"] == 0.5
+    assert rows["servers"]["cold budget, first"] == pytest.approx(0.16 * logic.COLD_SHARE * 3.0)
+    assert rows["probes"]["for one call"] == 0 and rows["discovery"]["first watch"] == pytest.approx(4 * 0.02)
+    assert rows["connections and memory"]["to servers"] == 400
     assert "doubted" not in explained(tmp_path, discovery="push")["discovery"]
     assert explained(tmp_path, stage=2000)["class stock"]["attempts"] == 5
     with pytest.raises(ConfigError, match="setting stage is out of range"):
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -48,6 +48,7 @@
 
 
 def paths(value: object, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Returns the path of every value inside a JSON value, as tuples of keys and indices."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     return [path] * bool(path) + [found for key, item in inner for found in paths(item, (*path, key))]
 
@@ -105,15 +106,15 @@
 STRUCTS: dict[str, Any] = {field.name: field.type for field in msgspec.structs.fields(schema.Settings)}
 STRUCTS = {name: kind for name, kind in STRUCTS.items() if isinstance(kind, type)}
 STRUCTS |= {"settings": schema.Settings, "grades": schema.Grade, "tenants": schema.Tenant}
-FIELD_METADATA: dict[str, dict[str, str]] = {  # key: the last two names of the path of a setting
+# The last two names in the path of a setting -> what schema._meta noted for it.
+FIELD_METADATA: dict[str, dict[str, str]] = {
     f"{name}.{field.name}": field.type.__metadata__[0].extra
     for name, struct in STRUCTS.items()
     for field in msgspec.structs.fields(struct)
     if hasattr(field.type, "__metadata__") and field.type.__metadata__[0].extra
 }
-TO_SETTINGS_VALUE: dict[
-    str, Callable[[Any, Any], Any]
-] = {  # attribute -> conversion of a value read by `check` to the one in interface.Settings
+# Attribute of interface.Settings -> conversion of what `check` reads to the value that the attribute holds.
+TO_SETTINGS_VALUE: dict[str, Callable[[Any, Any], Any]] = {
     "effect": lambda value, settings: Effect(value),
     "ask_for_list": lambda value, settings: value == "ask",
     "weights": lambda value, settings: WEIGHTS[value],
