--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -275,17 +275,17 @@
 
 
 def _gone(fields: Fields) -> api.Event:
-    return api.Gone(_int(fields, "call"))
+    return api.ClientGone(_int(fields, "call"))
 
 
 def _probed(fields: Fields) -> api.Event:
-    return api.Probed(
+    return api.ProbeResult(
         _int(fields, "backend"), _status(fields), _number(fields, "cost_time", 0.0), _report(fields)
     )
 
 
 def _timer(fields: Fields) -> api.Event:
-    return api.Timer(_int(fields, "key_back"))
+    return api.TimerFired(_int(fields, "key_back"))
 
 
 def _peer(fields: Fields) -> api.Event:
--- a/granitepoint/cli/schema.py
+++ b/granitepoint/cli/schema.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from granitepoint.interface import MOST_COUNT
+from granitepoint.interface import MAX_COUNT
 
 SECONDS, PER_SECOND, SHARE, POINTS, MEGABYTES, MICROSECONDS = "s", "1/s", "share", "points", "MB", "us"
 
@@ -82,7 +82,7 @@
 class PolicyLimits(Struct, kw_only=True):
     """What the site permits."""
 
-    send_cap: Annotated[int, _meta("attempts for a request", "attempts", "max_attempts", ge=1, le=MOST_COUNT)]
+    send_cap: Annotated[int, _meta("attempts for a request", "attempts", "max_attempts", ge=1, le=MAX_COUNT)]
     may_duplicate: Annotated[bool, _meta("two attempts of a request at a time", reads="may_duplicate")]
     may_cancel: Annotated[bool, _meta("attempts may be cancelled", reads="may_cancel")]
     probes: Annotated[bool, _meta("servers may be probed", reads="may_probe")]
@@ -90,7 +90,7 @@
         bool, _meta("proxies may talk to each other", reads="may_tell", unused="proxies do not talk")
     ] = False
     most_held: Annotated[
-        int, _meta("open requests; 0: no limit but the room", "requests", "most_held", ge=0, le=MOST_COUNT)
+        int, _meta("open requests; 0: no limit but the room", "requests", "most_held", ge=0, le=MAX_COUNT)
     ] = 0
     retry_after: Annotated[bool, _meta("callers heed Retry-After", reads="may_advise_wait")] = False
     max_retry_after: Annotated[
@@ -110,7 +110,7 @@
             "calls_per_connection",
             "HTTP/1.1: one",
             ge=1,
-            le=MOST_COUNT,
+            le=MAX_COUNT,
         ),
     ] = 1
     cpu_us_per_s: Annotated[
@@ -190,9 +190,9 @@
 
     grades: Annotated[list[Grade], Meta(min_length=1, description="the classes, each of its own name")]
     me: Annotated[
-        int, _meta("this proxy's number among `balancers`, from 0", reads="me", ge=0, le=MOST_COUNT)
+        int, _meta("this proxy's number among `balancers`, from 0", reads="me", ge=0, le=MAX_COUNT)
     ]
-    balancers: Annotated[int, _meta("proxies of this tier", "proxies", "balancers", ge=1, le=MOST_COUNT)]
+    balancers: Annotated[int, _meta("proxies of this tier", "proxies", "balancers", ge=1, le=MAX_COUNT)]
     discovery: Annotated[
         Literal["push", "ask"], _meta("changes come unasked, or on a watch", reads="ask_for_list")
     ]
@@ -204,7 +204,7 @@
     kinds: Annotated[list[str], _meta("kinds of machine", reads="kinds", unused=_NO_RULE)] = []
     quantum: Annotated[float, _meta("least time between two batches", SECONDS, "quantum", ge=0)] = 0.0
     stage: Annotated[
-        int, _meta("this tier's place in `stages`, from 0", reads="stage", ge=0, le=MOST_COUNT)
+        int, _meta("this tier's place in `stages`, from 0", reads="stage", ge=0, le=MAX_COUNT)
     ] = 0
     stages: Annotated[
         list[str], _meta("the tiers, which share the budget of calls done anew", reads="stages")
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -132,7 +132,7 @@
 
     def _timer(self, which: tuple[int, int]) -> None:
         if which[0] == self.life:
-            self.inbox.append(api.Timer(which[1]))
+            self.inbox.append(api.TimerFired(which[1]))
             self.due = -1
             self._handle()
 
@@ -198,7 +198,7 @@
             if not call.out:
                 self.calls.pop(call.id, None)
             if self.alive:
-                self.post(api.Gone(call.id))
+                self.post(api.ClientGone(call.id))
 
     def _overdue(self, call: Call) -> None:
         if not call.ended:
@@ -274,7 +274,7 @@
         """Send it over an idle connection, or open one for it."""
         server, loop = attempt.server, self.loop
         delay = self.world.delay(self.zone, server.zone)
-        rested = self._take_idle(server, action.trust)
+        rested = self._take_idle(server, action.max_idle_age)
         if rested is not None:
             attempt.rested = max(rested, 1e-9)
             loop.at(loop.now + delay, server.receive, attempt)
@@ -290,7 +290,7 @@
             server.open += 1
             attempt.overhead = tier.handshake_us / 1e6
             self.count.handshakes += 1
-            if delay > action.within:
+            if delay > action.last_byte_within:
                 server.open -= 1
                 attempt.life = -1
                 self._settle(attempt, api.Status.MOOT)
@@ -422,9 +422,9 @@
             status, back = api.Status.TIMEOUT, sent_at + server.tier.probe_timeout_ms / 1e3
         elif server.up:
             status, report = server.probed()
-        event = api.Probed(server.id, int(status), back - sent_at, report)
+        event = api.ProbeResult(server.id, int(status), back - sent_at, report)
         self.loop.at(back, self._probe_back, (life, event))
 
-    def _probe_back(self, about: tuple[int, api.Probed]) -> None:
+    def _probe_back(self, about: tuple[int, api.ProbeResult]) -> None:
         if about[0] == self.life:
             self.post(about[1])
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -173,7 +173,7 @@
         cls = api.RequestClass("read", worth=1, aim=0.2, deadline=0.5, late_worth=0.5)
         settings = api.Settings(
             classes=[cls], zone="a", balancers=self.instances // STAGES, stages=STAGES,
-            stage=self.number % STAGES, me=self.number // STAGES, ask_for_list=True, told_after=TOLD_AFTER,
+            stage=self.number % STAGES, me=self.number // STAGES, ask_for_list=True, notified_after=TOLD_AFTER,
         )  # fmt: skip
         self.seed += 1
         self.balancer = Balancer(settings, self.seed)
@@ -196,7 +196,7 @@
         kind = api.ListKind.FULL if told.whole else api.ListKind.INCREMENTAL
         entries = [listed.entry for listed in told.backends]
         self._feed(
-            api.ServerList(kind, entries, told.version, told.written_after, told.ends_watch, turn=told.turn)
+            api.ServerList(kind, entries, told.version, told.written_after, told.ends_watch, service_time=told.turn)
         )
 
     def _on_failed(self) -> None:
@@ -209,7 +209,7 @@
 
     def tick(self) -> None:
         now = asyncio.get_running_loop().time()
-        self._feed(api.Timer(1))
+        self._feed(api.TimerFired(1))
         if self.balancer.list_lease.valid(now):
             self.unusable_since = None
             return
--- a/granitepoint/interface.py
+++ b/granitepoint/interface.py
@@ -1,4 +1,7 @@
-"""What goes into and comes out of a Balancer: settings, events and actions, independent of any wire."""
+"""The input and output types of a Balancer: settings, events and actions, independent of any protocol.
+
+All times and durations are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -10,145 +13,165 @@
 
 
 class Effect(Enum):
-    """What a second execution of a request would do."""
+    """What happens if a request is executed a second time."""
 
-    REPEATABLE = "repeatable"  # harmless anywhere
-    BY_KEY = "by_key"  # dropped by the servers of one group, for a while
-    ONCE = "once"  # harmful
+    REPEATABLE = "repeatable"  # a second execution is harmless on any server
+    BY_KEY = "by_key"  # the servers of one group drop a duplicate for a limited time
+    ONCE = "once"  # a second execution does harm
 
 
 class Status(IntEnum):
-    """How an attempt or a probe ended."""
+    """The result of an attempt or a probe."""
 
     OK = 0
-    ERROR = 1  # the server answered with an error; it may have run
-    FULL = 2  # turned away unseen: never ran
+    ERROR = 1  # the server answered with an error; the request may have been executed
+    FULL = 2  # rejected before it was read: never executed
     TIMEOUT = 3
-    CONNECT_FAILED = 4  # never ran
+    CONNECT_FAILED = 4  # never executed
     RESET = 5
     CANCELLED = 6
-    MOOT = 7  # never sent
+    MOOT = 7  # no longer needed and never sent
 
 
+# The request was certainly not executed in these cases.
 NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 
 
 class ServerState(Enum):
+    """The state of a server as the list of servers gives it."""
+
     SERVING = "serving"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
-    SAVED = "saved"  # the whole list as last held, maybe out of date
-    FULL = "full"
-    INCREMENTAL = "incremental"
-    FAILED = "failed"  # a watch or fetch failed, or the watch broke
+    """How a ServerList relates to the list that the instance already has."""
 
+    SAVED = "saved"  # the complete list as it was last stored; it may be out of date
+    FULL = "full"  # the complete current list
+    INCREMENTAL = "incremental"  # only the servers that changed
+    FAILED = "failed"  # no list: a watch or a fetch failed, or the watch was interrupted
 
-MOST_COUNT = 1 << 31  # of any whole number in the settings: a float must be able to hold what comes of it
+
+# The upper bound of every integer setting. Values computed from it must still fit into a float.
+MAX_COUNT = 1 << 31
+# The integer settings, each with its lower bound.
 COUNTS = {
     "balancers": 1, "me": 0, "stage": 0, "stages": 1, "max_attempts": 1, "most_held": 0,
     "calls_per_connection": 1,
 }  # fmt: skip
 
 
-def _check(ok: bool, key: str, value: object) -> None:
+def _require(ok: bool, key: str, value: object) -> None:
+    """Raises ValueError, naming the setting `key`, unless `ok`."""
     if not ok:
         raise ValueError(f"setting {key} is out of range: {value!r}")
 
 
-def _positive(owner: object, prefix: str, *keys: str) -> None:
+def _require_positive(owner: object, prefix: str, *keys: str) -> None:
+    """Raises ValueError unless each of these attributes of `owner` is finite and above 0."""
     for key in keys:
         value = getattr(owner, key)
-        _check(math.isfinite(value) and value > 0, prefix + key, value)
+        _require(math.isfinite(value) and value > 0, prefix + key, value)
 
 
-def _not_negative(owner: object, prefix: str, *keys: str) -> None:
+def _require_non_negative(owner: object, prefix: str, *keys: str) -> None:
+    """Raises ValueError unless each of these attributes of `owner` is finite and at least 0."""
     for key in keys:
         value = getattr(owner, key)
-        _check(math.isfinite(value) and value >= 0, prefix + key, value)
+        _require(math.isfinite(value) and value >= 0, prefix + key, value)
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """A class of requests. Times are in seconds."""
+    """The settings of a class of requests. Raises ValueError for a value out of range."""
 
     name: str
-    worth: float
-    aim: float  # an answer within it has the full worth
-    deadline: float  # how long a client waits over all its tries
-    late_worth: float = 0.0  # share of the worth left to an answer between aim and deadline
+    worth: float  # the utility, in points, of an answer in time: for each request or unit of its work
+    aim: float  # the latency objective: an answer within it has the full utility
+    deadline: float  # how long a client waits in total, over all its tries
+    late_worth: float = 0.0  # the fraction of the utility that an answer between `aim` and `deadline` has
     effect: Effect = Effect.REPEATABLE
-    group: str = "all"  # BY_KEY: which servers drop a repeat: "all", "zone" or "cell"
-    window: float = 0.0  # BY_KEY: for how long they do
-    stream: bool = False
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    group: str = "all"  # BY_KEY only: the servers that drop a duplicate: "all", "zone" or "cell"
+    window: float = 0.0  # BY_KEY only: how long they recognize a duplicate
+    stream: bool = False  # the answer is a stream
+    aim_stretch: float = 0.0  # the objective is extended by this multiple of the request's own work
 
     def __post_init__(self) -> None:
-        _positive(self, f"class {self.name} ", "aim", "deadline")
-        _not_negative(self, f"class {self.name} ", "worth", "window", "aim_stretch", "late_worth")
-        _check(self.late_worth <= 1, f"class {self.name} late_worth", self.late_worth)
-        _check(self.group in ("all", "zone", "cell"), f"class {self.name} group", self.group)
+        """Checks the ranges of all values."""
+        _require_positive(self, f"class {self.name} ", "aim", "deadline")
+        _require_non_negative(self, f"class {self.name} ", "worth", "window", "aim_stretch", "late_worth")
+        _require(self.late_worth <= 1, f"class {self.name} late_worth", self.late_worth)
+        _require(self.group in ("all", "zone", "cell"), f"class {self.name} group", self.group)
 
 
 @dataclass(slots=True)
 class Tenant:
+    """The settings of a tenant. Raises ValueError for a value out of range."""
+
     name: str
-    quota_per_s: float  # over all instances of the tier
-    share: float = 0.0  # of the service
+    quota_per_s: float  # requests per second, over all instances of the tier
+    share: float = 0.0  # the fraction of the service
 
     def __post_init__(self) -> None:
-        _not_negative(self, f"tenant {self.name} ", "quota_per_s", "share")
+        """Checks the ranges of all values."""
+        _require_non_negative(self, f"tenant {self.name} ", "quota_per_s", "share")
 
 
 @dataclass(slots=True)
 class Settings:
-    """What an instance is told when it starts. Times are in seconds, prices in points per unit."""
+    """The settings of an instance. Prices are in points per unit.
+
+    Raises ValueError for a value out of range.
+    """
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     zone: str = ""
-    me: int = 0  # this instance's number among `balancers`
+    me: int = 0  # the index of this instance among the `balancers` of its tier
     balancers: int = 1
-    stage: int = 0  # 0: takes clients' requests; more: takes calls of servers
-    stages: int = 1  # tiers in all
+    stage: int = 0  # the index of the tier; 0 takes requests of clients, the others take calls of servers
+    stages: int = 1  # the number of tiers
     zones: tuple[str, ...] = ()
-    kinds: tuple[str, ...] = ()
-    quantum: float = 0.0  # events come no more often than this
-    ask_for_list: bool = False
-    must_ask_within: float = 10.0
-    told_after: float = math.inf  # s after which an untold change of the list counts as told; not on the wire
-    max_attempts: int = 1
-    may_duplicate: bool = False
+    kinds: tuple[str, ...] = ()  # machine types
+    quantum: float = 0.0  # the minimum time between two batches of events
+    ask_for_list: bool = False  # changes are requested with a watch; otherwise they are pushed
+    must_ask_within: float = 10.0  # the maximum time without a watch or a call to discovery
+    # How long after a change an instance that has not received it is treated as notified. Not a setting of
+    # the configuration: the process that runs the Balancer sets it.
+    notified_after: float = math.inf
+    max_attempts: int = 1  # attempts per request
+    may_duplicate: bool = False  # several attempts of a request may be in flight at once
     may_cancel: bool = False
     may_probe: bool = False
-    may_tell: bool = False  # messages to other instances
-    most_held: int = 0  # open requests that an instance may hold; 0: no limit
+    may_tell: bool = False  # messages to other instances are allowed
+    most_held: int = 0  # the maximum number of open requests of an instance; 0: no limit
     clients_mark_retries: bool = False
-    may_advise_wait: bool = False
+    may_advise_wait: bool = False  # refusals may carry a Retry-After
     max_wait_advice: float = 0.0
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
-    passes_deadline: bool = False
-    report_names: tuple[str, ...] = ()  # of busy_reqs, pending, cpu_share, svc_ms, served_ps, failed_ps
-    reports: str = "probe"  # where load reports come: "answer" (with probes too), "probe" or "none"
+    over_share_worth: float = 1.0  # the factor on the utility of a tenant's requests beyond its quota
+    worth_by_work: bool = False  # the utility is scaled by the expected work of the request
+    passes_deadline: bool = False  # servers forward the time that is left for a request
+    # The fields of a load report: of busy_reqs, pending, cpu_share, svc_ms, served_ps, failed_ps.
+    report_names: tuple[str, ...] = ()
+    reports: str = "probe"  # where load reports come: "answer" (and probes), "probe" or "none"
     weights: str = "nominal"  # what a listed weight means: "none", "nominal", "rough" or "live"
-    conn_idle: float = 15.0
+    conn_idle: float = 15.0  # servers close a connection that has been idle for this time
     connect_timeout: float = 0.25
-    calls_per_connection: int = 1  # at a time
-    cpu_per_s: float = 0.0  # CPU seconds of an instance each second; 0: no limit
+    calls_per_connection: int = 1  # concurrent calls on a connection
+    cpu_per_s: float = 0.0  # CPU seconds per second that an instance may use; 0: no limit
     cpu_per_call: float = 0.0  # CPU seconds
-    goal_whole: float = 1.0  # weights of the parts of the result
+    goal_whole: float = 1.0  # the weights of the parts of the overall score
     goal_window: float = 0.0
     goal_class: float = 0.0
     goal_tenant: float = 0.0
-    answer_slack: float = 0.0
-    drain_grace: float = 0.0
-    cold_from: float = 1.0
-    cold_for: float = 0.0
-    fall_multiple: float = 1.0
-    fall_within: float = 1.0
+    answer_slack: float = 0.0  # how long after a request's deadline its answer may still be given
+    drain_grace: float = 0.0  # how long after its drain was announced a server may still get requests
+    cold_from: float = 1.0  # the fraction of its capacity that a server has right after its start
+    cold_for: float = 0.0  # the time until a started server has its full capacity
+    fall_multiple: float = 1.0  # the multiple of its present capacity that a cold server withstands
+    fall_within: float = 1.0  # the time for which it withstands more
     price_crossing: float = 0.0
     price_probe: float = 0.0
     price_handshake: float = 0.0
@@ -159,17 +182,18 @@
     price_discovery: float = 0.0
 
     def __post_init__(self) -> None:
-        _check(bool(self.classes), "classes", self.classes)
-        for key, least in COUNTS.items():
-            _check(least <= getattr(self, key) <= MOST_COUNT, key, getattr(self, key))
-        _check(0 < self.cold_from <= 1, "cold_from", self.cold_from)
-        _check(0 <= self.over_share_worth <= 1, "over_share_worth", self.over_share_worth)
-        _check(self.reports in ("answer", "probe", "none"), "reports", self.reports)
-        _check(self.weights in ("none", "nominal", "rough", "live"), "weights", self.weights)
+        """Checks the ranges of all values."""
+        _require(bool(self.classes), "classes", self.classes)
+        for key, minimum in COUNTS.items():
+            _require(minimum <= getattr(self, key) <= MAX_COUNT, key, getattr(self, key))
+        _require(0 < self.cold_from <= 1, "cold_from", self.cold_from)
+        _require(0 <= self.over_share_worth <= 1, "over_share_worth", self.over_share_worth)
+        _require(self.reports in ("answer", "probe", "none"), "reports", self.reports)
+        _require(self.weights in ("none", "nominal", "rough", "live"), "weights", self.weights)
         names = [cls.name for cls in self.classes]
-        _check(len(set(names)) == len(names), "classes", names)
-        _positive(self, "", "must_ask_within", "fall_multiple", "fall_within", "connect_timeout")
-        _not_negative(
+        _require(len(set(names)) == len(names), "classes", names)
+        _require_positive(self, "", "must_ask_within", "fall_multiple", "fall_within", "connect_timeout")
+        _require_non_negative(
             self,
             "",
             "max_wait_advice",
@@ -200,80 +224,90 @@
 
 @dataclass(slots=True)
 class ServerEntry:
-    server: int
+    """One server of a list."""
+
+    server: int  # the id of the server
     zone: str = ""
-    kind: str = ""
+    kind: str = ""  # the machine type
     cell: int = 0
     state: ServerState = ServerState.SERVING
-    weight: float = 1.0
+    weight: float = 1.0  # relative capacity
     started_at: float = 0.0  # 0: long ago
 
 
 @dataclass(slots=True)
 class ServerList:
+    """A list of servers arrived from discovery, or the request for one failed."""
+
     kind: ListKind
     entries: list[ServerEntry] = field(default_factory=list)
     version: int = 0
-    written_after: float | None = None  # when it was written at the earliest; None: just now
-    ends_watch: bool = True  # it came on the newest call; otherwise a watch is still out
-    failure: Failure | None = None  # of FAILED; None: to be told from the time that the call took
-    turn: float | None = None  # s that a call for this list took without its hold; None: not known
+    written_after: float | None = None  # the earliest time at which it was written; None: just now
+    ends_watch: bool = True  # it answers the newest call; otherwise a later watch is still open
+    failure: Failure | None = None  # FAILED only; None: derived from the duration of the call
+    service_time: float | None = None  # time that discovery needed, without its hold; None: unknown
 
 
 @dataclass(slots=True)
 class WatchLost:
-    """The watch of discovery failed, fell silent or moved: until the next list, changes may go untold."""
+    """The watch of discovery failed, became silent or moved. Changes may be missed until the next list."""
 
-    told_within: float = math.inf  # s from now after which they count as told at once, untold or not
-    moved: bool = False  # discovery has another address from now on
-    silent: bool = False  # another call is made beside the watch
+    notified_within: float = math.inf  # after this time, from now on, every change counts as known at once
+    moved: bool = False  # discovery has a new address
+    silent: bool = False  # the watch stays open, and another call is made in parallel
 
 
 @dataclass(slots=True)
 class WatchOpened:
-    """A call is out that discovery holds for up to `hold` s; `begun` is on the clock of the batches."""
+    """A call was made that discovery may hold open for up to `hold` seconds."""
 
-    begun: float
+    started_at: float  # on the clock of the event batches
     hold: float
 
 
 @dataclass(slots=True)
 class DiscoveryFailed:
-    """A call to discovery failed. Times are on the clock of the batches."""
+    """A call to discovery failed. Times are on the clock of the event batches."""
 
     failure: Failure
-    begun: float
-    ended: float
-    beside: bool = False  # an older call is still out
+    started_at: float
+    ended_at: float
+    older_call_open: bool = False  # an earlier call is still in progress
 
 
 @dataclass(slots=True)
 class Arrival:
-    call: int
-    cls: str
-    budget: float  # seconds until the client gives this try up
+    """A request arrived."""
+
+    call: int  # the id of the call
+    class_name: str
+    budget: float  # the time until the client gives up this try
     tenant: str = ""
     work: float = 0.0  # expected work in core seconds; 0: unknown
-    resent: bool = False
+    resent: bool = False  # the client marked it as a retry
     write: bool = False
-    key: str = ""  # the subject of the request, where it has one
-    stated: float = 0.0  # s that the client said it would wait, from when it sent this try; 0: the budget
+    key: str = ""  # identifies the object that the request is about, if there is one
+    stated_timeout: float = 0.0  # how long the client said it waits, from when it sent this try; 0: `budget`
 
 
 @dataclass(slots=True)
 class Outcome:
+    """An attempt ended."""
+
     call: int
-    attempt: int
+    attempt: int  # the number of the attempt within the call
     server: int
-    status: int
+    status: int  # a Status
     elapsed: float
-    final: bool
-    report: dict[str, float] | None = None
-    rested: float | None = None  # s that its connection had not been used; 0: it was new; None: unknown
+    final: bool  # the call ended with this attempt
+    report: dict[str, float] | None = None  # the load report of the server, by field name
+    idle_for: float | None = None  # how long its connection had been idle; 0: it was new; None: unknown
 
 
 @dataclass(slots=True)
 class StreamStarted:
+    """The first part of a streamed answer arrived."""
+
     call: int
     attempt: int
     server: int
@@ -281,35 +315,41 @@
 
 
 @dataclass(slots=True)
-class Gone:
-    """The client left, or its time ran out: nothing more is owed."""
+class ClientGone:
+    """The client disconnected, or its time is over: the call needs no answer any more."""
 
     call: int
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeResult:
+    """A probe ended."""
+
     server: int
-    status: int
+    status: int  # a Status
     elapsed: float
-    report: dict[str, float] | None = None
+    report: dict[str, float] | None = None  # the load report of the server, by field name
 
 
 @dataclass(slots=True)
-class Timer:
-    token: int
+class TimerFired:
+    """The delay of a SetTimer is over."""
+
+    token: int  # the token of the SetTimer
 
 
 @dataclass(slots=True)
-class ClosedAtRest:
-    """The other side closed a connection that was not in use. Only real sockets tell."""
+class IdleConnectionClosed:
+    """The server closed an idle connection. Only real sockets report this."""
 
     server: int
-    rested: float
+    idle_for: float
 
 
 @dataclass(slots=True)
 class PeerMessage:
+    """Another instance sent a message."""
+
     sender: int
     data: bytes
 
@@ -322,10 +362,10 @@
     | Arrival
     | Outcome
     | StreamStarted
-    | Gone
-    | Probed
-    | Timer
-    | ClosedAtRest
+    | ClientGone
+    | ProbeResult
+    | TimerFired
+    | IdleConnectionClosed
     | PeerMessage
 )
 
@@ -334,66 +374,86 @@
 
 @dataclass(slots=True)
 class Send:
+    """Send an attempt of a call to a server."""
+
     call: int
     server: int
     timeout: float
-    trust: float = math.inf  # s; a connection that has rested longer is closed, not used
-    within: float = math.inf  # s in which its last byte has to go out: later it might run a second time
+    max_idle_age: float = math.inf  # a connection that has been idle for longer is closed instead of used
+    last_byte_within: float = math.inf  # send the last byte within this time: later, it might run twice
 
 
 @dataclass(slots=True)
 class Refuse:
+    """Answer that the request was not executed, or that it is harmless to send it again."""
+
     call: int
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # the wait that is advised to the client; 0: none
 
 
 @dataclass(slots=True)
 class Fail:
+    """Answer that the request failed and may have been executed."""
+
     call: int
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt that is in flight."""
+
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Send a health check, which also asks for a load report."""
+
     server: int
 
 
 @dataclass(slots=True)
 class Watch:
+    """Start or stop watching discovery for changes of the list."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class Fetch:
+    """Request the complete list from discovery."""
+
     pass
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Deliver TimerFired with this token after a delay."""
+
     delay: float
     token: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to a server."""
+
     server: int
 
 
 @dataclass(slots=True)
 class Tell:
-    """A message to another instance, or to all; only where Settings.may_tell."""
+    """Send a message to one other instance or to all. Only where Settings.may_tell."""
 
     data: bytes
-    peer: int | None = None  # None: to all
+    peer: int | None = None  # None: all
 
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -22,17 +22,17 @@
     Action,
     Arrival,
     Cancel,
-    ClosedAtRest,
+    ClientGone,
     CloseIdle,
     DiscoveryFailed,
     Effect,
     Event,
     Fail,
-    Gone,
+    IdleConnectionClosed,
     ListKind,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     Refuse,
     Send,
     ServerEntry,
@@ -42,7 +42,7 @@
     Settings,
     Status,
     StreamStarted,
-    Timer,
+    TimerFired,
     Watch,
     WatchLost,
     WatchOpened,
@@ -185,7 +185,7 @@
 
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         self.settings = settings
-        self.list_lease = ListLease(settings.told_after)
+        self.list_lease = ListLease(settings.notified_after)
         self.health = HealthLeases(confirmed=not settings.ask_for_list, checkable=settings.may_probe)
         self.actions = actions
         self.calls: dict[int, Call] = {}
@@ -649,23 +649,23 @@
                 self.on_outcome(event)
             elif type(event) is Arrival:
                 self.on_arrival(event, fresh)
-            elif type(event) is Timer:
+            elif type(event) is TimerFired:
                 if event.token == TICK_TOKEN:
                     self.timer_set = False
-            elif type(event) is Probed:
+            elif type(event) is ProbeResult:
                 self.on_probed(event)
             elif type(event) is ServerList:
                 self.on_list(event)
             elif type(event) is WatchLost:
                 self.on_watch_lost(event)
             elif type(event) is WatchOpened:
-                self.list_lease.watching(event.begun, event.hold)
+                self.list_lease.watching(event.started_at, event.hold)
             elif type(event) is DiscoveryFailed:
-                self.asked_at = event.begun
-                self.list_lease.failed(event.failure, event.begun, event.ended, event.beside)
-            elif type(event) is ClosedAtRest:
-                self.servers.doubt_rest(event.rested)
-            elif type(event) is Gone:
+                self.asked_at = event.started_at
+                self.list_lease.failed(event.failure, event.started_at, event.ended_at, event.older_call_open)
+            elif type(event) is IdleConnectionClosed:
+                self.servers.doubt_rest(event.idle_for)
+            elif type(event) is ClientGone:
                 self.on_gone(event)
             elif type(event) is StreamStarted:
                 self.on_stream(event)
@@ -695,7 +695,7 @@
 
     # events
     def on_watch_lost(self, event: WatchLost) -> None:
-        self.health.lose(self.now, event.told_within)
+        self.health.lose(self.now, event.notified_within)
         if event.moved:
             self.list_lease.move(self.now)
         elif event.silent:
@@ -713,7 +713,7 @@
                 self.health.confirm()
                 written_after = self.now if event.written_after is None else event.written_after
                 self.list_lease.listed(written_after, self.now, event.ends_watch)
-                self.backoff.succeeded(event.turn)
+                self.backoff.succeeded(event.service_time)
                 self.told_at, self.doubt_at = self.now, math.inf
             self.servers.take_list(event, self.now)
             self.admission.set_least(len(self.servers.known), self.settings.balancers)
@@ -721,7 +721,7 @@
     def on_arrival(self, event: Arrival, fresh: list[Call]) -> None:
         if event.call in self.gate.calls or event.call in self.gate.over:
             return
-        cls = self.kinds.get(event.cls)
+        cls = self.kinds.get(event.class_name)
         if cls is None or not 0 < event.budget < math.inf:
             self.gate.turn_away(event.call)
             return
@@ -736,7 +736,7 @@
             else:
                 worth *= self.settings.over_share_worth
         # What the client said, not what is left of it: a pause of this instance is no wait of the client's.
-        stated = event.stated if 0 < event.stated < math.inf else event.budget
+        stated = event.stated_timeout if 0 < event.stated_timeout < math.inf else event.budget
         left = self.aim_left(cls, stated, event.resent)
         useful = event.budget if cls.late_counts else min(event.budget, left)
         call = Call(event.call, cls, worth, now, now + event.budget, now + useful)
@@ -781,7 +781,7 @@
     def refuse(self, call: Call) -> None:
         self.gate.answer(call, self.advice())
 
-    def on_gone(self, event: Gone) -> None:
+    def on_gone(self, event: ClientGone) -> None:
         call = self.gate.calls.get(event.call)
         if call is None or call.ended:
             return
@@ -819,8 +819,8 @@
             server.used_at = now
         if attempt.counted:
             self.busy -= 1
-        if event.rested is not None:
-            attempt.idle, attempt.opened = event.rested, event.rested <= 0
+        if event.idle_for is not None:
+            attempt.idle, attempt.opened = event.idle_for, event.idle_for <= 0
         was_ended = call.ended
         self.gate.settle(attempt, status, event.final)
         self.servers.report(server, event.report, now)
@@ -938,7 +938,7 @@
                 self.busy -= 1
         self.servers.fill_pool(self.now)
 
-    def on_probed(self, event: Probed) -> None:
+    def on_probed(self, event: ProbeResult) -> None:
         server = self.servers.known.get(event.server)
         if server is None:
             return
--- a/granitepoint/modelcheck/fleet.py
+++ b/granitepoint/modelcheck/fleet.py
@@ -18,7 +18,7 @@
     ListKind,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     RequestClass,
     Send,
     ServerEntry,
@@ -27,7 +27,7 @@
     SetTimer,
     Settings,
     Status,
-    Timer,
+    TimerFired,
 )
 from granitepoint.modelcheck.world import Make, RuleBroken
 
@@ -213,7 +213,7 @@
     def turn(self, me: int, event: Event) -> None:
         for action in self.instances[me].handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                self.later(action.delay, me, partial(Timer, action.token))
+                self.later(action.delay, me, partial(TimerFired, action.token))
             elif isinstance(action, Probe):
                 self.probe(me, action.server)
             elif isinstance(action, Send):
@@ -251,7 +251,7 @@
         status = Status.TIMEOUT if silent else Status.OK
         report = None if silent else {"busy_reqs": float(self.holds(server))}
         delay = 0.2 if silent else 0.002
-        self.later(delay, me, lambda: Probed(server, status, delay, report))
+        self.later(delay, me, lambda: ProbeResult(server, status, delay, report))
 
     def send(self, me: int, action: Send) -> None:
         server, machine = action.server, self.machines[action.server]
--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -12,17 +12,17 @@
 
 from granitepoint.interface import (
     Arrival,
-    ClosedAtRest,
-    Gone,
+    ClientGone,
+    IdleConnectionClosed,
     ListKind,
     Outcome,
-    Probed,
+    ProbeResult,
     ServerList,
     ServerState,
     Settings,
     Status,
     StreamStarted,
-    Timer,
+    TimerFired,
 )
 from granitepoint.logic import Balancer
 from granitepoint.modelcheck import draw
@@ -77,7 +77,7 @@
         for _ in range(count):
             self.last_id += 1
             name = classes[cls % len(classes)].name
-            self.world.arrive(Arrival(self.last_id, name, budget, tenant, work, resent, stated=stated))
+            self.world.arrive(Arrival(self.last_id, name, budget, tenant, work, resent, stated_timeout=stated))
 
     @rule(cls=st.sampled_from(["unheard of", *draw.NAMES]), budget=st.sampled_from([0.0, -1.0, math.inf]))
     def arrive_odd(self, cls: str, budget: float) -> None:
@@ -161,11 +161,11 @@
         elif kind == 1 and not known:
             self.world.pending.append(StreamStarted(id, attempt, 1, 0.1))
         elif kind == 2 and (call is None or call.over):
-            self.world.pending.append(Gone(id))
+            self.world.pending.append(ClientGone(id))
         elif kind == 3:
-            self.world.pending.append(Timer(id))
+            self.world.pending.append(TimerFired(id))
         elif kind == 4:
-            self.world.pending.append(Probed(id, status, 0.1, None))
+            self.world.pending.append(ProbeResult(id, status, 0.1, None))
 
     @rule(
         kind=draw.kinds,
@@ -219,7 +219,7 @@
 
     @rule(server=st.integers(1, draw.SERVERS), rested=st.sampled_from([0.0, 0.5, 30.0]))
     def close_at_rest(self, server: int, rested: float) -> None:
-        self.world.pending.append(ClosedAtRest(server, rested))
+        self.world.pending.append(IdleConnectionClosed(server, rested))
 
     @rule(span=st.sampled_from(draw.SPANS))
     def wait(self, span: float) -> None:
--- a/granitepoint/modelcheck/rules.py
+++ b/granitepoint/modelcheck/rules.py
@@ -79,7 +79,7 @@
         self.check(same_group(cls.group, first.place, there), f"{action} outside of the group {first.place}")
         left = first.sent_at + cls.window - world.now
         self.check(left > 0, f"{action} {-left:g} s after the window for repeats")
-        self.check(action.within <= left + ROUNDING, f"{action} may go out after the window, {left:g} s left")
+        self.check(action.last_byte_within <= left + ROUNDING, f"{action} may go out after the window, {left:g} s left")
 
     def answered(self, world: World, call: Call | None, action: Refuse | Fail) -> None:
         if call is None or call.cls is None or isinstance(action, Fail):
--- a/granitepoint/modelcheck/world.py
+++ b/granitepoint/modelcheck/world.py
@@ -11,13 +11,13 @@
     Action,
     Arrival,
     Cancel,
+    ClientGone,
     Event,
     Fail,
-    Gone,
     ListKind,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     Refuse,
     RequestClass,
     Send,
@@ -28,7 +28,7 @@
     Settings,
     Status,
     StreamStarted,
-    Timer,
+    TimerFired,
 )
 from granitepoint.logic import Balancer
 
@@ -141,8 +141,8 @@
         self.pending.append(event)
         if event.call in self.calls:
             return
-        known = event.cls in self.classes and 0 < event.budget < math.inf
-        call = Call(event.call, self.classes[event.cls] if known else None, event.budget if known else 0.0)
+        known = event.class_name in self.classes and 0 < event.budget < math.inf
+        call = Call(event.call, self.classes[event.class_name] if known else None, event.budget if known else 0.0)
         self.calls[call.id] = self.open[call.id] = call
 
     def settle(
@@ -169,7 +169,7 @@
 
     def leave(self, call: Call) -> None:
         call.ended_in = self.turns
-        self.pending.append(Gone(call.id))
+        self.pending.append(ClientGone(call.id))
 
     def tell(self, told: ServerList) -> None:
         self.pending.append(told)
@@ -186,7 +186,7 @@
 
     def end_probe(self, place: int, status: Status, report: dict[str, float] | None) -> None:
         server = self.probing.pop(place)
-        self.pending.append(Probed(server, status, 0.01, report))
+        self.pending.append(ProbeResult(server, status, 0.01, report))
 
     # the clock
     def next_due(self) -> float:
@@ -225,7 +225,7 @@
             for attempt in call.out:
                 if attempt.due <= self.now:
                     self.settle(call, attempt, Status.TIMEOUT)
-        self.pending += [Timer(token) for at, token in self.timers if at <= self.now]
+        self.pending += [TimerFired(token) for at, token in self.timers if at <= self.now]
         self.timers = [(at, token) for at, token in self.timers if at > self.now]
         due, self.pending = self.pending, []
         events = due + added if due_first else added + due
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -171,7 +171,7 @@
                     continue
                 self._lose()
                 ended = time.monotonic()
-                self.on_evidence(DiscoveryFailed(self.failure, ask.begun, ended, beside=bool(asks)))
+                self.on_evidence(DiscoveryFailed(self.failure, ask.begun, ended, older_call_open=bool(asks)))
                 if self.pushed:
                     await asyncio.sleep(self._sooner(PUSH_PAUSE, PUSH_JITTER))
                 elif asks or (first and tries < MOVE_TRIES):
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -89,7 +89,7 @@
         self.loop = asyncio.get_running_loop()
         pushed = not config.settings.ask_for_list
         told_after = 0.0 if pushed else min(TOLD_AFTER, config.settings.must_ask_within)
-        self.settings = replace(config.settings, told_after=told_after)
+        self.settings = replace(config.settings, notified_after=told_after)
         self.config = config
         self.effects = {cls.name: cls.effect for cls in self.settings.classes}
         self.deadlines = {cls.name: cls.deadline for cls in self.settings.classes}
@@ -230,20 +230,20 @@
         for event in events:
             if isinstance(event, api.Arrival | api.Outcome):
                 self._give_up(event.call)
-            elif isinstance(event, api.Timer):
+            elif isinstance(event, api.TimerFired):
                 self._set_timer(api.SetTimer(0.05, event.token))
 
     def _give_up(self, number: int) -> None:
         call = self.calls.get(number)
         if call is not None:
             self._close(call, 502, (), b"internal error\n")
-            self._push(api.Gone(number))
+            self._push(api.ClientGone(number))
 
     @staticmethod
     def _server_list(listing: Listing, kind: api.ListKind) -> api.ServerList:
         entries = [listed.entry for listed in listing.backends]
         return api.ServerList(
-            kind, entries, listing.version, listing.written_after, listing.ends_watch, turn=listing.turn
+            kind, entries, listing.version, listing.written_after, listing.ends_watch, service_time=listing.turn
         )
 
     def _on_list(self, listing: Listing) -> None:
@@ -263,7 +263,7 @@
     def _on_closed_at_rest(self, upstream: Upstream, rested: float) -> None:
         for server, listed in self.upstreams.by_id.items():
             if listed is upstream and upstream.serving:  # what drains closes all that it has
-                self._push(api.ClosedAtRest(server, rested))
+                self._push(api.IdleConnectionClosed(server, rested))
 
     # the callers' side
     def ready(self) -> bool:
@@ -301,13 +301,13 @@
         self._push(
             api.Arrival(
                 call=number,
-                cls=request.cls,
+                class_name=request.cls,
                 budget=call.deadline - min(MODULE_MARGIN, spare) - now,
                 tenant=request.tenant,
                 work=request.work,
                 resent=request.resent,
                 key=request.subject,
-                stated=stated,
+                stated_timeout=stated,
             )
         )
         return call
@@ -322,7 +322,7 @@
             if self.tracing:
                 log.debug("caller_left", id=call.request.id)
             self._settle(call)
-            self._push(api.Gone(call.number))
+            self._push(api.ClientGone(call.number))
 
     def _overdue(self, call: OpenCall, late: bool = False) -> None:
         """The module has said nothing in time: a failure, unless a refusal is provably harmless."""
@@ -335,7 +335,7 @@
         harmless = not call.ran and (call.exchange is None or not call.exchange.sent)
         exchange = call.exchange
         self._close(call, 503 if harmless else 504, (), b"out of time\n")
-        self._push(api.Gone(call.number))
+        self._push(api.ClientGone(call.number))
         if exchange is not None:
             exchange.end(api.Status.TIMEOUT if exchange.sent else api.Status.MOOT)
 
@@ -392,7 +392,7 @@
             backend = "{}:{}".format(*upstream.address)
             log.debug("attempt_begun", id=sent_as, number=number, backend=backend, timeout_s=timeout)
         exchange = Exchange(
-            upstream, request, max(0.0, timeout), may_start, done, action.trust, action.within, sent_as
+            upstream, request, max(0.0, timeout), may_start, done, action.max_idle_age, action.last_byte_within, sent_as
         )
         call.exchange = self.out[call.number] = exchange
         self.upstreams.start(exchange)
@@ -442,7 +442,7 @@
     def _probe(self, action: api.Probe) -> None:
         upstream = self.upstreams.by_id.get(action.server)
         if upstream is None or not upstream.serving or self.probes >= MOST_PROBES:
-            self._push(api.Probed(action.server, api.Status.FULL, 0.0))  # not the backend's fault
+            self._push(api.ProbeResult(action.server, api.Status.FULL, 0.0))  # not the backend's fault
             return
         self.probes += 1
         target = "/healthz" if self.settings.reports == "none" else "/load"
@@ -462,7 +462,7 @@
             report = read_report(exchange.body) if status is api.Status.OK else None
             if status is api.Status.MOOT:
                 status = api.Status.FULL  # not asked, so nothing is known against it
-            self._push(api.Probed(action.server, status, exchange.elapsed, report))
+            self._push(api.ProbeResult(action.server, status, exchange.elapsed, report))
 
         self.upstreams.start(
             Exchange(upstream, lambda left: request, PROBE_TIMEOUT, lambda: upstream.serving, done)
@@ -474,7 +474,7 @@
 
     def _timer(self, due: float, token: int) -> None:
         self.lag = max(self.lag * LAG_FADE, time.monotonic() - due)
-        self._push(api.Timer(token))
+        self._push(api.TimerFired(token))
 
     def _close_idle(self, action: api.CloseIdle) -> None:
         upstream = self.upstreams.by_id.get(action.server)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,7 +20,7 @@
     SetTimer,
     Settings,
     Status,
-    Timer,
+    TimerFired,
 )
 
 SAFE = RequestClass("safe", worth=10, aim=1.0, deadline=2.0)
@@ -75,7 +75,7 @@
             timer = min(self.timers)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            actions += self.feed(Timer(timer[1]))
+            actions += self.feed(TimerFired(timer[1]))
         self.now = end
         return actions
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -19,14 +19,14 @@
     ListKind,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     RequestClass,
     Send,
     ServerEntry,
     ServerList,
     SetTimer,
     Status,
-    Timer,
+    TimerFired,
 )
 
 MULTIPLE, WITHIN, COLD_FROM, COLD_FOR = 3.0, 2.0, 0.39, 8.0
@@ -64,10 +64,10 @@
             event = Arrival(next(calls), "once", 3.0)
         for action in many[me].handle(now, [event]):
             if isinstance(action, SetTimer):
-                later(now + action.delay, me, Timer(action.token))
+                later(now + action.delay, me, TimerFired(action.token))
             elif isinstance(action, Probe):
                 report = {"busy_reqs": 0.0 if action.server == COLD else 20.0}  # it looks idle to all
-                later(now, me, Probed(action.server, Status.OK, 0.0, report))
+                later(now, me, ProbeResult(action.server, Status.OK, 0.0, report))
             elif isinstance(action, Send):
                 ends = held[action.server] = [end for end in held.get(action.server, []) if end > now]
                 ends.append(max([now, *ends]) + chance.expovariate(1 / work))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -16,15 +16,15 @@
     Arrival,
     Balancer,
     Cancel,
-    ClosedAtRest,
     CloseIdle,
     Effect,
     Event,
     Fail,
+    IdleConnectionClosed,
     ListKind,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     Refuse,
     RequestClass,
     Send,
@@ -165,7 +165,7 @@
 def test_pick_takes_the_fewest_in_flight_counting_own_sends() -> None:
     driver = Driver(settings(may_probe=True), servers=entries(1, 2))
     driver.feed(
-        Probed(1, Status.OK, 0.001, {"busy_reqs": 5.0}), Probed(2, Status.OK, 0.001, {"busy_reqs": 3.0})
+        ProbeResult(1, Status.OK, 0.001, {"busy_reqs": 5.0}), ProbeResult(2, Status.OK, 0.001, {"busy_reqs": 3.0})
     )
     servers = [only_send(driver.arrive(call)).server for call in (1, 2)]
     assert servers == [2, 2]  # 3, then 4 of its own against 5
@@ -212,7 +212,7 @@
     assert send.server not in others
     driver.wait(1.0)
     assert Probe(send.server) in driver.said
-    driver.feed(Probed(send.server, Status.OK, 0.001, None))
+    driver.feed(ProbeResult(send.server, Status.OK, 0.001, None))
     assert not driver.balancer.servers.known[send.server].ejected_until
 
 
@@ -288,9 +288,9 @@
     # as if its clients' whole time were running out.
     driver = Driver(settings())
     for call in range(20):
-        driver.settle(only_send(driver.arrive(call, "once", budget=1.0, stated=1.0)), Status.OK)
-    driver.settle(only_send(driver.arrive(98, "once", budget=0.9, stated=1.0)), Status.OK)
-    assert not sends(driver.arrive(99, "once", budget=0.9, stated=0.9))  # this client has waited
+        driver.settle(only_send(driver.arrive(call, "once", budget=1.0, stated_timeout=1.0)), Status.OK)
+    driver.settle(only_send(driver.arrive(98, "once", budget=0.9, stated_timeout=1.0)), Status.OK)
+    assert not sends(driver.arrive(99, "once", budget=0.9, stated_timeout=0.9))  # this client has waited
 
 
 def test_a_first_try_with_a_short_budget_is_not_late_where_retries_are_marked() -> None:
@@ -516,8 +516,8 @@
     actions = driver.arrive(1)
     asked = [a.server for a in actions if isinstance(a, Probe)]
     assert len(asked) == 3 and not sends(actions)
-    driver.feed(*[Probed(server, Status.OK, 0.001, {"busy_reqs": 4.0}) for server in asked[:2]])
-    idle = driver.feed(Probed(asked[2], Status.OK, 0.001, {"busy_reqs": 0.0}))
+    driver.feed(*[ProbeResult(server, Status.OK, 0.001, {"busy_reqs": 4.0}) for server in asked[:2]])
+    idle = driver.feed(ProbeResult(asked[2], Status.OK, 0.001, {"busy_reqs": 0.0}))
     assert only_send(idle).server not in asked[:2]
 
 
@@ -586,12 +586,12 @@
     # Found at full size: two probes a second cost several probes a call where a call a second comes.
     driver = Driver(settings(may_probe=True))
     first = [a for a in driver.wait(1.0) if isinstance(a, Probe)]
-    driver.feed(*[Probed(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in first])
+    driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in first])
     probes = 0
     for _ in range(200):
         asked = [a for a in driver.wait(0.1) if isinstance(a, Probe)]
         probes += len(asked)
-        driver.feed(*[Probed(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in asked])
+        driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in asked])
     assert 2 <= probes <= 12
 
 
@@ -605,7 +605,7 @@
         driver.settle(only_send(said), Status.OK)
         asked = [a for a in said if isinstance(a, Probe)]
         probes += len(asked) if call >= 0 else 0
-        driver.feed(*[Probed(a.server, Status.OK, 0.001, {"busy_reqs": 1.0}) for a in asked])
+        driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 1.0}) for a in asked])
     assert calls / 40 <= probes <= calls / 16
 
 
@@ -668,14 +668,14 @@
     driver = Driver(settings(may_probe=True), servers=entries(1))
     for call in range(30):
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
-        driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
+        driver.feed(ProbeResult(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.arrive(30, "once")
     asked = [action for action in driver.wait(0.8) if isinstance(action, Probe)]
     assert asked and driver.balancer.busy == 1
-    driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 1.0}))  # it is at work on it
+    driver.feed(ProbeResult(1, Status.OK, 0.01, {"busy_reqs": 1.0}))  # it is at work on it
     driver.wait(0.05)
     assert driver.balancer.busy == 1
-    driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
+    driver.feed(ProbeResult(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.wait(0.05)
     assert driver.balancer.busy == 0
 
@@ -706,12 +706,12 @@
     driver.settle(first, Status.OK)
     driver.wait(0.4)
     third = only_send(driver.arrive(3))  # the second is still out: the server looks in use
-    assert third.trust > 20.0
-    driver.feed(Outcome(3, 0, third.server, Status.RESET, 0.001, False, rested=0.4))
-    assert 0.25 < only_send(driver.arrive(4)).trust < 0.3
+    assert third.max_idle_age > 20.0
+    driver.feed(Outcome(3, 0, third.server, Status.RESET, 0.001, False, idle_for=0.4))
+    assert 0.25 < only_send(driver.arrive(4)).max_idle_age < 0.3
     assert not driver.balancer.servers.known[1].ejected_until
-    driver.feed(Outcome(4, 0, second.server, Status.RESET, 0.001, False, rested=0.0))
-    assert only_send(driver.arrive(5)).trust > 0.25  # a new one's reset says nothing of rest
+    driver.feed(Outcome(4, 0, second.server, Status.RESET, 0.001, False, idle_for=0.0))
+    assert only_send(driver.arrive(5)).max_idle_age > 0.25  # a new one's reset says nothing of rest
 
 
 def test_a_close_at_rest_tells_how_long_a_connection_may_rest() -> None:
@@ -719,12 +719,12 @@
     # that age: one in ten was reset.
     driver = Driver(settings(conn_idle=30.0), servers=entries(1))
     for call, (rested, least, most) in enumerate([(0.02, 20.0, 30.0), (0.5, 0.3, 0.4), (0.9, 0.3, 0.4)]):
-        driver.feed(ClosedAtRest(1, rested))
+        driver.feed(IdleConnectionClosed(1, rested))
         send = only_send(driver.arrive(call))
-        assert least < send.trust <= most
+        assert least < send.max_idle_age <= most
         driver.settle(send, Status.OK)
     driver.wait(60.0)
-    assert only_send(driver.arrive(9)).trust > 2.0  # older ones are tried again
+    assert only_send(driver.arrive(9)).max_idle_age > 2.0  # older ones are tried again
 
 
 def test_reset_on_an_idle_connection_is_not_the_server_s_fault() -> None:
@@ -826,7 +826,7 @@
     listed = entries(1, 2, 3, zone="a") + entries(4, 5, zone="b")
     driver = Driver(settings(may_probe=True, price_crossing=0.04), servers=listed)
     reports = {1: 9.0, 2: 9.0, 4: 0.0}
-    driver.feed(*[Probed(server, Status.OK, 0.01, {"busy_reqs": busy}) for server, busy in reports.items()])
+    driver.feed(*[ProbeResult(server, Status.OK, 0.01, {"busy_reqs": busy}) for server, busy in reports.items()])
     assert {only_send(driver.arrive(call)).server for call in range(3)} <= {4, 5}
 
 
@@ -873,6 +873,6 @@
     balancer.admission.cut, balancer.admission.tie, balancer.admission.window = 1.0, 1.0, 5.0
     said: list[Action] = []
     for call in range(8):
-        said += balancer.handle(100.001 + call / 1000, [Arrival(call=call, cls="once", budget=2.0)])
+        said += balancer.handle(100.001 + call / 1000, [Arrival(call=call, class_name="once", budget=2.0)])
     assert [action.call for action in said if isinstance(action, Send)] == [0, 1, 2, 3]
     assert [action.call for action in said if isinstance(action, Refuse)] == [4, 5, 6, 7]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -141,7 +141,7 @@
                 await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
             told = net.HOLD_MS / 1000 + HOLD_TOLD if confirmed else SILENT_TOLD
             lost = [each for each in evidence if isinstance(each, WatchLost)]
-            assert told - 1.0 < lost[0].told_within < told and not client.confirmed
+            assert told - 1.0 < lost[0].notified_within < told and not client.confirmed
             assert lost[0].silent and not lost[0].moved
 
     run(test())
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -74,12 +74,12 @@
         driver.opened(request(time.monotonic()), NoReply())
         usual = driver.events[-1]
         assert isinstance(usual, Arrival) and usual.budget > 1.5
-        assert usual.stated == 1.9
+        assert usual.stated_timeout == 1.9
         held = request(time.monotonic() - 0.4)  # it lay unread while this process stood still
         held.id = b"3"
         driver.opened(held, NoReply())
         late = driver.events[-1]
-        assert isinstance(late, Arrival) and late.budget < 1.5 and late.stated == 1.9
+        assert isinstance(late, Arrival) and late.budget < 1.5 and late.stated_timeout == 1.9
         driver.end_by = time.monotonic() + 0.5
         second = request(time.monotonic())
         second.id = b"2"
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import Driver, entries, only_send, sends, settings
 
-from granitepoint import Action, Event, ListKind, Probe, Probed, ServerList, Status, WatchLost
+from granitepoint import Action, Event, ListKind, Probe, ProbeResult, ServerList, Status, WatchLost
 from granitepoint.membership.health_checks import LEASE, LEAST_LEASED, RENEW_AFTER, TOLD_LEASE
 from granitepoint.membership.list_lease import MOVE_TOLD
 
@@ -31,7 +31,7 @@
         asked = [action.server for action in actions if isinstance(action, Probe)]
         self.checks += asked
         if asked and self.answering:
-            actions = actions + self.feed(*(Probed(server, self.health[server], 0.0) for server in asked))
+            actions = actions + self.feed(*(ProbeResult(server, self.health[server], 0.0) for server in asked))
         return actions
 
     def lose(self, told_within: float = math.inf) -> None:
@@ -93,7 +93,7 @@
     made.lose()
     made.wait(LEASE + 0.1)
     made.settle(only_send(made.arrive(1)), Status.OK)
-    made.feed(Probed(1, Status.ERROR, 0.0))
+    made.feed(ProbeResult(1, Status.ERROR, 0.0))
     made.stop_health_checks()
     assert sends(made.arrive(2)) == []
 
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -209,7 +209,7 @@
 
 def asking(**changes: object) -> Driver:
     setup = settings(
-        ask_for_list=True, told_after=TOLD_AFTER, may_advise_wait=True, max_wait_advice=2.0, **changes
+        ask_for_list=True, notified_after=TOLD_AFTER, may_advise_wait=True, max_wait_advice=2.0, **changes
     )
     return Driver(setup, servers=entries(1, 2))
 
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -11,18 +11,18 @@
 from granitepoint import (
     Action,
     Arrival,
+    ClientGone,
     Fail,
-    Gone,
     ListKind,
     Probe,
-    Probed,
+    ProbeResult,
     Refuse,
     Send,
     ServerList,
     ServerState,
     Status,
     StreamStarted,
-    Timer,
+    TimerFired,
     Watch,
 )
 from granitepoint.admission import Kind
@@ -167,7 +167,7 @@
 def test_client_that_leaves_within_the_batch_it_came_in_gets_nothing() -> None:
     # Found on an overloaded day: arrivals were opened after all other events, so the leave was overlooked.
     driver = Driver(settings())
-    actions = driver.feed(Arrival(9, "safe", 2.0), Gone(9))
+    actions = driver.feed(Arrival(9, "safe", 2.0), ClientGone(9))
     actions += driver.wait(3.0)
     assert not any(isinstance(a, Refuse | Fail) or sends([a]) for a in actions)
 
@@ -177,7 +177,7 @@
     send = only_send(driver.arrive(1))
     driver.settle(send, Status.OK)
     actions: list[Action] = driver.settle(send, Status.OK)
-    actions += driver.feed(Gone(1), Gone(99), StreamStarted(1, 0, 1))
+    actions += driver.feed(ClientGone(1), ClientGone(99), StreamStarted(1, 0, 1))
     assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
     assert not [a for a in driver.feed(Arrival(1, "safe", 2.0)) if isinstance(a, Fail | Refuse) or sends([a])]
 
@@ -228,10 +228,10 @@
 
 def test_odd_events_change_nothing() -> None:
     driver = Driver(settings(may_probe=True))
-    driver.feed(Probed(77, Status.OK, 0.1, {"busy_reqs": 1.0}), Timer(12345), ServerList(ListKind.FULL, []))
-    driver.feed(Probed(1, Status.OK, 0.1, {"busy_reqs": float("nan")}), ServerList(ListKind.FULL, entries(1)))
+    driver.feed(ProbeResult(77, Status.OK, 0.1, {"busy_reqs": 1.0}), TimerFired(12345), ServerList(ListKind.FULL, []))
+    driver.feed(ProbeResult(1, Status.OK, 0.1, {"busy_reqs": float("nan")}), ServerList(ListKind.FULL, entries(1)))
     for _ in range(3):  # the clock stands still
-        driver.feed(Timer(1))
+        driver.feed(TimerFired(1))
     assert only_send(driver.arrive(1)).server == 1
 
 
@@ -242,7 +242,7 @@
     def wait(span: float, status: Status) -> None:
         for _ in range(round(span / 0.05)):
             asked = [action for action in driver.wait(0.05) if isinstance(action, Probe)]
-            driver.feed(*[Probed(action.server, status, 0.001) for action in asked])
+            driver.feed(*[ProbeResult(action.server, status, 0.001) for action in asked])
 
     wait(15.0, Status.OK)
     assert driver.said.count(Watch(True)) == 1
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -13,21 +13,21 @@
     Arrival,
     Balancer,
     Cancel,
+    ClientGone,
     Effect,
     Event,
     Fail,
-    Gone,
     ListKind,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     Refuse,
     Send,
     ServerList,
     ServerState,
     SetTimer,
     Status,
-    Timer,
+    TimerFired,
 )
 
 NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
@@ -69,7 +69,7 @@
     events: list[Event] = [ServerList(ListKind.SAVED, listed)]
     for _ in range(data.draw(st.integers(5, 40))):
         actions = balancer.handle(now, events)
-        ended_now = {e.call for e in events if isinstance(e, Gone) or (isinstance(e, Outcome) and e.final)}
+        ended_now = {e.call for e in events if isinstance(e, ClientGone) or (isinstance(e, Outcome) and e.final)}
         for action in actions:
             if isinstance(action, Send):
                 client = clients[action.call]
@@ -107,7 +107,7 @@
         dues = [due for due, _ in timers] + [c.deadline for c in clients.values() if not c.ended]
         jump = data.draw(st.sampled_from([0.0, 0.005, 0.05, 0.3]))
         now = max(now, min([now + jump, *[due for due in dues if due > now]]))
-        events = [Timer(token) for due, token in timers if due <= now]
+        events = [TimerFired(token) for due, token in timers if due <= now]
         timers = [t for t in timers if t[0] > now]
         for call, client in clients.items():
             out = [n for n, a in enumerate(client.attempts) if a[2] is None]
@@ -141,7 +141,7 @@
                 if left:
                     call = data.draw(st.sampled_from(left))
                     clients[call].ended = True
-                    events.append(Gone(call))
+                    events.append(ClientGone(call))
             elif kind == "list":
                 server = data.draw(st.sampled_from(sorted(zones)))
                 state[server] = data.draw(st.sampled_from(list(ServerState)))
@@ -153,10 +153,10 @@
                     )
                 )
             elif kind == "probed" and probing:
-                events.append(Probed(probing.pop(), data.draw(st.integers(0, 4)), 0.01, {"busy_reqs": 1.0}))
+                events.append(ProbeResult(probing.pop(), data.draw(st.integers(0, 4)), 0.01, {"busy_reqs": 1.0}))
         # A held call is answered before its time: no open call without an attempt outlives its deadline.
         if not events:
-            events = [Timer(99)]
+            events = [TimerFired(99)]
         late = [c for c, k in clients.items() if not k.ended and not k.attempts and now > k.deadline + 0.3]
         assert not late, late
 
@@ -188,7 +188,7 @@
         said = driver.wait(chance.expovariate(rate))
         for probe in [a for a in said if isinstance(a, Probe)]:  # the cold one looks idle, as it does to all
             busy = 0.0 if probe.server == 1 and restarted else 30.0
-            driver.feed(Probed(probe.server, Status.OK, 0.001, {"busy_reqs": busy}))
+            driver.feed(ProbeResult(probe.server, Status.OK, 0.001, {"busy_reqs": busy}))
         for send in [a for a in driver.arrive(call) if isinstance(a, Send)]:
             out.append((driver.now + latency, send))
             if restarted and send.server == 1:
