--- a/granitepoint/admission.py
+++ b/granitepoint/admission.py
@@ -1,6 +1,10 @@
-"""How many calls an instance lets in: what is learned of each class, the window W, and the cut by worth.
+"""Admission control: how many calls an instance accepts, and which ones it refuses under overload.
 
-Times are in seconds. No I/O, no clock; chance comes from the source that is handed in.
+Each class of requests has a target latency, derived from its latency objective and its unloaded latency.
+Answers over the target lower the concurrency limit, answers within it raise it. If more calls arrive than the
+limit supports, those of the lowest utility are refused.
+
+All times are in seconds. There is no I/O and no clock here; random numbers come from the given generator.
 """
 
 from __future__ import annotations
@@ -11,151 +15,210 @@
 
 from granitepoint.interface import RequestClass
 
-MEMORY = 2.0  # s, memory of the arrival rate and procQ: long against one call, short against a trouble
-FEWEST_SAMPLES = 10  # calls, below which procQ and H say nothing and nothing is refused
-HISTORY = 300  # worths kept in H: the cut's error is then about 3 points of 100
-BUDGETS = 64  # time budgets of a class that are kept to know the usual one
-TARGET = 0.35  # share of the aim that all but LATE_SHARE of the answers should take
-SLACK = 0.8  # share of W up to which no call is refused for its worth; W grows beyond it
-LATE_SHARE = 0.2  # share of answers past the target at which W stands still
-BASE_RATIO = 1.75  # unhurried mean latencies that the target is at least: a long tail passes less
-BASE_SAMPLES = 50  # answers before the unhurried latency is taken from them
-BASE_CALLS = 200  # answers in that mean: the least of a mean over few calls with long tails is far too low
-BASE_MEMORY = 60.0  # s in which the unhurried latency follows a lasting rise
-MOST_TARGET = 0.9  # share of the aim that the target stays within, and where it starts
-LEAST_WINDOW = 2.0  # calls; W does not recover well from less
-LEAST_PER_SERVER = 2.0  # calls for each server that the first tier's instances share, if these are the more
-MOST_STEP = 0.3  # share of W that one call moves it by at most
-FIRST_WINDOW = 4.0  # calls, where W starts before anything is known
-SUNK = 0.5  # added to ST's weight per tier above: work done there is lost by a refusal here
-
-
-class Kind:
-    """A class of requests with what was learned of it."""
+# s, averaging time of the arrival rate and the latency: long compared to a call, short compared to a failure
+AVERAGING_TIME = 2.0
+MIN_SAMPLES = 10  # calls; with fewer in the latency or the recent utilities nothing is refused
+MAX_RECENT_UTILITIES = 300  # the utility threshold then has an error of about 3 percentage points
+MAX_RECENT_BUDGETS = 64  # time budgets of a class that are kept for their median
+TARGET_FRACTION = (
+    0.35  # of the latency objective: what all but OVER_TARGET_FRACTION of the answers should take
+)
+# Of the concurrency limit: up to here no call is refused for its utility, and beyond it the limit may grow.
+UNRESTRICTED_FRACTION = 0.8
+OVER_TARGET_FRACTION = 0.2  # of the answers: the fraction over the target at which the limit does not move
+# The target is at least this multiple of the mean unloaded latency: with a long-tailed distribution too many
+# answers would exceed a lower one.
+MIN_TARGET_RATIO = 1.75
+UNLOADED_MIN_SAMPLES = 50  # answers before the unloaded latency is derived from them
+# Answers in the mean from which the unloaded latency is derived. The minimum of means over fewer answers is
+# far too low if the distribution has a long tail.
+UNLOADED_MEAN_SAMPLES = 200
+UNLOADED_RISE_TIME = 60.0  # s in which the unloaded latency follows a lasting increase
+MAX_TARGET_FRACTION = 0.9  # of the latency objective: the maximum and the initial value of the target
+MIN_CONCURRENCY_LIMIT = 2.0  # calls; from a lower limit the instance recovers only slowly
+MIN_CALLS_PER_SERVER = (
+    2.0  # calls per server of the first tier, shared by the instances if there are more of them
+)
+MAX_STEP_FRACTION = 0.3  # of the concurrency limit: the maximum change for one call
+INITIAL_CONCURRENCY_LIMIT = 4.0  # calls
+# Added per stage to the factor on the supported throughput: a refusal loses the work done in the tiers above.
+SUNK_COST_PER_STAGE = 0.5
+
+
+class ClassState:
+    """The settings of a class of requests and the statistics gathered about it."""
 
     def __init__(self, cls: RequestClass, stage: int) -> None:
+        """`stage`: the index of the tier of this instance, from 0."""
         self.name = cls.name
-        self.worth, self.aim, self.deadline, self.effect = cls.worth, cls.aim, cls.deadline, cls.effect
-        self.group, self.window = cls.group, cls.window
-        self.late_counts = cls.late_worth > 0
-        # The target of an inner call: a caller makes about two calls, one after another, at each tier.
-        self.least_target = TARGET * cls.aim * 0.5**stage
-        # Until the unhurried latency is known the target is the loosest: where an instance sees a call a
-        # second, a guess of the unhurried latency that is too low closes W on a quiet day and keeps it shut.
-        self.target = MOST_TARGET * cls.aim
-        self.base = math.inf  # s, the mean latency when little is in the way
-        self.mean = Mean(self.least_target / 2)
-        self.steady = Mean(self.least_target / 2)  # over more calls
-        self.budgets: deque[float] = deque(maxlen=BUDGETS)
-        self.usual, self.fresh_budgets = 0.0, 0
-
-    def took(self, elapsed: float) -> None:
-        self.mean.add(elapsed, 50)
-        self.steady.add(elapsed, BASE_CALLS)
-
-    def learn_base(self, span: float) -> None:
-        """A target below what an unhurried call takes would close W on a quiet day."""
-        mean = self.steady
-        if mean.count >= BASE_SAMPLES:
-            creep = 0.0 if math.isinf(self.base) else (mean.value - self.base) * span / BASE_MEMORY
-            self.base = min(mean.value, self.base + creep)
-            self.target = max(self.least_target, min(BASE_RATIO * self.base, MOST_TARGET * self.aim))
-
-    def usual_budget(self, budget: float) -> float:
-        """The median of the recent budgets, renewed now and then."""
-        self.budgets.append(budget)
-        self.fresh_budgets += 1
-        if self.fresh_budgets >= BUDGETS // 4 or len(self.budgets) < BUDGETS // 4:
-            self.fresh_budgets = 0
-            self.usual = sorted(self.budgets)[len(self.budgets) // 2]
-        return self.usual
-
-
-class Mean:
-    """A running mean of the last few samples, from a prior."""
+        self.utility, self.latency_objective, self.deadline, self.effect = (
+            cls.worth, cls.aim, cls.deadline, cls.effect,
+        )  # fmt: skip
+        self.group, self.dedup_window = cls.group, cls.window
+        self.late_answers_count = cls.late_worth > 0  # an answer past the objective still has some utility
+        # Inner tiers have a lower target: a caller makes about two calls, one after the other, at each tier.
+        self.min_target_latency = TARGET_FRACTION * cls.aim * 0.5**stage
+        # The target starts at its maximum, until the unloaded latency is known. Where an instance handles
+        # about one call per second, too low a guess of the unloaded latency lowers the concurrency limit
+        # although there is little load, and keeps it low.
+        self.target_latency = MAX_TARGET_FRACTION * cls.aim
+        self.unloaded_latency = math.inf  # the mean latency at low load
+        self.mean_latency = RunningMean(self.min_target_latency / 2)
+        self.long_mean_latency = RunningMean(self.min_target_latency / 2)  # over more calls
+        self.recent_budgets: deque[float] = deque(maxlen=MAX_RECENT_BUDGETS)
+        self.median_budget, self.budgets_since_median = 0.0, 0
+
+    def record_latency(self, elapsed: float) -> None:
+        """Adds the latency of an answer to the statistics."""
+        self.mean_latency.add(elapsed, 50)
+        self.long_mean_latency.add(elapsed, UNLOADED_MEAN_SAMPLES)
+
+    def update_target(self, span: float) -> None:
+        """Updates the unloaded latency and the target; `span`: time since the last update.
+
+        A target below the latency of an unloaded server would lower the concurrency limit at low load.
+        """
+        mean = self.long_mean_latency
+        if mean.count >= UNLOADED_MIN_SAMPLES:
+            increase = (
+                0.0
+                if math.isinf(self.unloaded_latency)
+                else (mean.value - self.unloaded_latency) * span / UNLOADED_RISE_TIME
+            )
+            self.unloaded_latency = min(mean.value, self.unloaded_latency + increase)
+            self.target_latency = max(
+                self.min_target_latency,
+                min(MIN_TARGET_RATIO * self.unloaded_latency, MAX_TARGET_FRACTION * self.latency_objective),
+            )
+
+    def record_budget(self, budget: float) -> float:
+        """Adds a time budget. Returns the median of the recent ones, which is not updated at each call."""
+        self.recent_budgets.append(budget)
+        self.budgets_since_median += 1
+        if (
+            self.budgets_since_median >= MAX_RECENT_BUDGETS // 4
+            or len(self.recent_budgets) < MAX_RECENT_BUDGETS // 4
+        ):
+            self.budgets_since_median = 0
+            self.median_budget = sorted(self.recent_budgets)[len(self.recent_budgets) // 2]
+        return self.median_budget
+
+
+class RunningMean:
+    """An exponentially weighted running mean that starts at a prior."""
 
     __slots__ = ("count", "value")
 
     def __init__(self, prior: float) -> None:
+        """`prior`: the value until the first sample."""
         self.value = prior
         self.count = 0.0
 
-    def add(self, sample: float, memory: float) -> None:
-        self.count = min(self.count + 1, memory)
+    def add(self, sample: float, max_samples: float) -> None:
+        """Adds a sample; the mean covers about the last `max_samples` samples."""
+        self.count = min(self.count + 1, max_samples)
         self.value += (sample - self.value) / self.count
 
 
 class Admission:
-    """procQ, the arrival rate, the history H of worths, the window W and the cut that follows from them."""
+    """The concurrency limit, and the utility below which calls are refused under overload."""
 
     def __init__(self, stage: int, random: Random) -> None:
+        """`stage`: the index of the tier of this instance, from 0."""
         self.stage = stage
         self.random = random
-        self.latency = Mean(0.0)
-        self.age = 0.0  # mean age of the calls out
-        self.rate = 0.0
-        self.rate_span = 0.0
-        self.history: deque[float] = deque(maxlen=HISTORY)
-        self.window = FIRST_WINDOW
-        self.least = LEAST_WINDOW
-        self.starting = True  # W doubles each round until the first bad sign
-        self.cut, self.tie = -math.inf, 0.0
+        self.mean_latency = RunningMean(0.0)
+        self.mean_age_in_flight = 0.0  # mean time that the calls in flight have taken so far
+        self.arrival_rate = 0.0  # calls per second
+        self.rate_span = 0.0  # time over which the arrival rate has been averaged so far
+        self.recent_utilities: deque[float] = deque(maxlen=MAX_RECENT_UTILITIES)
+        self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
+        self.min_concurrency_limit = MIN_CONCURRENCY_LIMIT
+        # As in TCP's slow start, the limit doubles per round trip until the first answer over its target.
+        self.limit_doubles = True
+        self.utility_threshold, self.tie_reject_probability = -math.inf, 0.0
 
     @property
-    def proc(self) -> float:
-        # A hung server finishes nothing, so the ages of what is out count too.
-        return max(self.latency.value, 0.5 * self.age)
+    def latency_estimate(self) -> float:
+        """The expected latency of a call."""
+        # A hung server finishes no calls, so the age of the calls in flight counts too.
+        return max(self.mean_latency.value, 0.5 * self.mean_age_in_flight)
 
     def observe_rate(self, arrivals: int, span: float) -> None:
-        self.rate_span = min(self.rate_span + span, MEMORY)
-        self.rate += (arrivals / span - self.rate) * min(1.0, span / self.rate_span)
+        """Records the number of calls that arrived in the last `span` seconds."""
+        self.rate_span = min(self.rate_span + span, AVERAGING_TIME)
+        self.arrival_rate += (arrivals / span - self.arrival_rate) * min(1.0, span / self.rate_span)
 
     def observe_latency(self, latency: float) -> None:
-        self.latency.add(latency, max(FEWEST_SAMPLES, self.rate * MEMORY))
-
-    def set_least(self, servers: int, balancers: int) -> None:
-        """With more instances than servers, two calls of each would crowd every server. Inner tiers keep
-        the floor: a refusal there loses the work above."""
-        if self.stage == 0:
-            self.least = min(LEAST_WINDOW, max(1.0, LEAST_PER_SERVER * servers / balancers))
-
-    def step(self) -> float:
-        return min(MOST_STEP * self.window, 1 / math.sqrt(self.window))
+        """Records the latency of an answer."""
+        self.mean_latency.add(latency, max(MIN_SAMPLES, self.arrival_rate * AVERAGING_TIME))
 
-    def good(self, busy: float) -> None:
-        """An answer within its target. W grows only while it is what limits."""
-        if busy + 1 >= SLACK * self.window:
-            self.window += 0.5 if self.starting else LATE_SHARE / (1 - LATE_SHARE) * self.step()
+    def set_min_limit(self, servers: int, balancers: int) -> None:
+        """Lowers the minimum of the limit where there are many instances per server.
 
-    def bad(self) -> None:
-        self.starting = False
-        self.window = max(self.least, self.window - self.step())
-
-    def drop(self) -> float:
-        if self.latency.count < FEWEST_SAMPLES or len(self.history) < FEWEST_SAMPLES or self.rate <= 0:
+        With more instances than servers, two calls of each instance would overload every server. Inner tiers
+        keep their minimum: a refusal there loses the work that was done above.
+        """
+        if self.stage == 0:
+            self.min_concurrency_limit = min(
+                MIN_CONCURRENCY_LIMIT, max(1.0, MIN_CALLS_PER_SERVER * servers / balancers)
+            )
+
+    def limit_step(self) -> float:
+        """By how much one answer over its target lowers the limit."""
+        return min(MAX_STEP_FRACTION * self.concurrency_limit, 1 / math.sqrt(self.concurrency_limit))
+
+    def on_within_target(self, busy: float) -> None:
+        """Raises the limit for an answer within its target, but only if the limit is nearly used up.
+
+        `busy`: the number of calls in flight.
+        """
+        if busy + 1 >= UNRESTRICTED_FRACTION * self.concurrency_limit:
+            self.concurrency_limit += (
+                0.5
+                if self.limit_doubles
+                else OVER_TARGET_FRACTION / (1 - OVER_TARGET_FRACTION) * self.limit_step()
+            )
+
+    def on_over_target(self) -> None:
+        """Lowers the limit for an answer over its target."""
+        self.limit_doubles = False
+        self.concurrency_limit = max(self.min_concurrency_limit, self.concurrency_limit - self.limit_step())
+
+    def reject_fraction(self) -> float:
+        """The fraction of the arriving calls that exceeds the supported throughput, from 0 to 1."""
+        if (
+            self.mean_latency.count < MIN_SAMPLES
+            or len(self.recent_utilities) < MIN_SAMPLES
+            or self.arrival_rate <= 0
+        ):
             return 0.0
-        supported = self.window / max(self.proc, 1e-6) * (1 + SUNK * self.stage)
-        return max(0.0, 1 - supported / self.rate)
-
-    def set_cut(self) -> None:
-        target = self.drop()
+        supported_rate = (
+            self.concurrency_limit / max(self.latency_estimate, 1e-6) * (1 + SUNK_COST_PER_STAGE * self.stage)
+        )
+        return max(0.0, 1 - supported_rate / self.arrival_rate)
+
+    def update_threshold(self) -> None:
+        """Sets the utility threshold so that `reject_fraction` of the recent calls lie below it."""
+        target = self.reject_fraction()
         if target <= 0:
-            self.cut, self.tie = -math.inf, 0.0
+            self.utility_threshold, self.tie_reject_probability = -math.inf, 0.0
             return
-        count = len(self.history)
+        count = len(self.recent_utilities)
         below = 0.0
         counts: dict[float, int] = {}
-        for worth in self.history:
-            counts[worth] = counts.get(worth, 0) + 1
-        for worth in sorted(counts):
-            share = counts[worth] / count
-            if below + share >= target - 1e-12:
-                # Worth has few levels: ties at the cut are refused by chance, up to the target.
-                self.cut, self.tie = worth, (target - below) / share
+        for utility in self.recent_utilities:
+            counts[utility] = counts.get(utility, 0) + 1
+        for utility in sorted(counts):
+            fraction = counts[utility] / count
+            if below + fraction >= target - 1e-12:
+                # Many calls have the same utility: of those at the threshold a random part is refused.
+                self.utility_threshold, self.tie_reject_probability = utility, (target - below) / fraction
                 return
-            below += share
+            below += fraction
 
-    def admits(self, worth: float) -> bool:
-        if worth == self.cut:
-            return self.random.random() >= self.tie
-        return worth > self.cut
+    def admits(self, utility: float) -> bool:
+        """Whether a call of this utility is accepted; at the threshold itself this is random."""
+        if utility == self.utility_threshold:
+            return self.random.random() >= self.tie_reject_probability
+        return utility > self.utility_threshold
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -62,7 +62,7 @@
 
 
 def _class(cls: RequestClass, settings: Settings) -> Section:
-    kind = admission.Kind(cls, settings.stage)
+    kind = admission.ClassState(cls, settings.stage)
     answered = max(0.0, cls.deadline - driver.LEAST_MARGIN)
     held = max(0.0, answered - driver.MODULE_MARGIN - logic.ANSWER_MARGIN)
     always = cls.effect is Effect.REPEATABLE or (cls.effect is Effect.BY_KEY and cls.group == "all")
@@ -74,8 +74,8 @@
         Entry("deadline", cls.deadline, SECONDS, "the most that a request's own budget counts for"),
         Entry("answered by", _rounded(answered), SECONDS, busy),
         Entry("held until", _rounded(held), SECONDS, "at the latest, before its first attempt goes out"),
-        Entry("target from", _rounded(kind.least_target), SECONDS, "slower answers close the window"),
-        Entry("target to", _rounded(kind.target), SECONDS, "the same at the start; it is learned"),
+        Entry("target from", _rounded(kind.min_target_latency), SECONDS, "slower answers close the window"),
+        Entry("target to", _rounded(kind.target_latency), SECONDS, "the same at the start; it is learned"),
         Entry("attempts", settings.max_attempts, "attempts", "at most, one at a time on sockets"),
         Entry("repeats", cls.effect.value, "", _repeats(cls)),
     ]
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -93,7 +93,7 @@
     def state(self) -> tuple[float, float, int, int]:
         """Its limit of calls in flight, the share it means to refuse, attempts in flight and calls held."""
         balancer = self.balancer
-        return balancer.admission.window, balancer.admission.drop(), balancer.busy, len(balancer.queue)
+        return balancer.admission.concurrency_limit, balancer.admission.reject_fraction(), balancer.busy, len(balancer.queue)
 
     # -- batches
     def post(self, event: api.Event) -> None:
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -11,11 +11,11 @@
 from random import Random
 
 from granitepoint.admission import (
-    MEMORY,
-    SLACK,
+    AVERAGING_TIME,
+    UNRESTRICTED_FRACTION,
     Admission,
-    Kind,
-    Mean,
+    ClassState,
+    RunningMean,
 )
 from granitepoint.interface import (
     NEVER_RAN,
@@ -165,7 +165,7 @@
     )
 
     def __init__(
-        self, id: int, cls: Kind, worth: float, arrived: float, deadline: float, useful: float
+        self, id: int, cls: ClassState, worth: float, arrived: float, deadline: float, useful: float
     ) -> None:
         self.id, self.cls, self.worth, self.arrived = id, cls, worth, arrived
         self.deadline, self.useful_until = deadline, useful
@@ -222,10 +222,10 @@
         first = self.may_have_run(call)
         if first is None or call.cls.effect is not Effect.BY_KEY:
             return math.inf
-        return first.sent_at + call.cls.window - now
+        return first.sent_at + call.cls.dedup_window - now
 
     @staticmethod
-    def same_group(cls: Kind, attempt: Attempt, server: Server) -> bool:
+    def same_group(cls: ClassState, attempt: Attempt, server: Server) -> bool:
         """Whether a server belongs to the group that drops copies of an attempt."""
         if cls.group == "all":
             return True
@@ -344,15 +344,15 @@
         self.random = random
         self.known: dict[int, Server] = {}
         self.pool: list[Server] = []
-        self.mean_load = Mean(1.0)
-        self.zone_load: dict[str, Mean] = {}  # reported calls for each unit of size
-        self.errors = Mean(0.0)
+        self.mean_load = RunningMean(1.0)
+        self.zone_load: dict[str, RunningMean] = {}  # reported calls for each unit of size
+        self.errors = RunningMean(0.0)
         self.send_rate = self.peak_rate = 0.0  # sends a second; the highest for each unit of size
         self.hints = 0.0  # units of size of the pool, as remembered
         self.unit = 0.1  # s, the mean latency of a call
         self.aim = max(cls.aim for cls in settings.classes)
         self.idle_safe = settings.conn_idle  # s without use after which a connection is still trusted
-        self.on_open, self.on_new = Mean(1.0), Mean(1.0)  # mean latencies of a call on such
+        self.on_open, self.on_new = RunningMean(1.0), RunningMean(1.0)  # mean latencies of a call on such
 
     def take_list(self, event: ServerList, now: float) -> None:
         if event.kind is ListKind.FAILED:
@@ -435,7 +435,7 @@
         total = sum(server.hint for server in self.pool)
         share = COLD_SHARE * self.settings.fall_multiple
         # As the send rate remembers: what went to many is no measure of what the few that are left can do.
-        self.hints += (total - self.hints) * (min(1.0, span / MEMORY) if self.hints else 1.0)
+        self.hints += (total - self.hints) * (min(1.0, span / AVERAGING_TIME) if self.hints else 1.0)
         # The peak, not the present rate: else few sends allow fewer still, and a fleet in a roll stays cold.
         present = self.send_rate / self.hints if self.hints else 0.0
         self.peak_rate = max(present, self.peak_rate * (1 - span / PEAK_MEMORY))
@@ -474,15 +474,15 @@
             load += (server.last_report - usual) * math.exp((server.reported_at - now) / fade)
         return max(load, server.out)
 
-    def learn_failing(self, server: Server, cls: Kind, failed: bool, now: float) -> None:
+    def learn_failing(self, server: Server, cls: ClassState, failed: bool, now: float) -> None:
         share = self.failing(server, cls, now)
         server.failing[cls.name] = share + (failed - share) * FAILING_STEP, now
 
-    def failing(self, server: Server, cls: Kind, now: float) -> float:
+    def failing(self, server: Server, cls: ClassState, now: float) -> float:
         share, at = server.failing.get(cls.name, (0.0, now))
         return share * math.exp((at - now) / FAILING_MEMORY)
 
-    def usual_failing(self, cls: Kind, now: float) -> float:
+    def usual_failing(self, cls: ClassState, now: float) -> float:
         """What the pool fails of a class. A server that fails more may serve other classes well, and so looks
         idle and quick. Guards against servers that turn away or fail one kind of request (a bad version, a
         limit or a store of its own that is down), at once or slowly. Harm: under overload chance makes some
@@ -596,7 +596,7 @@
             return
         server.usual += (figure - server.usual) * (0.3 if server.reported_at > 0 else 1.0)
         server.last_report = figure
-        zone = self.zone_load.setdefault(server.zone, Mean(0.0))
+        zone = self.zone_load.setdefault(server.zone, RunningMean(0.0))
         zone.add(figure / server.hint, ZONE_REPORTS)
         server.reported_at = now
         server.since = 0
@@ -612,7 +612,7 @@
         self.actions: list[Action] = []
         self.gate = Obligations(settings, self.actions)
         self.list_lease, self.health = self.gate.list_lease, self.gate.health
-        self.kinds = {cls.name: Kind(cls, settings.stage) for cls in settings.classes}
+        self.kinds = {cls.name: ClassState(cls, settings.stage) for cls in settings.classes}
         self.admission = Admission(settings.stage, self.random)
         self.servers = Servers(settings, self.random)
         self.quota = {t.name: t.quota_per_s / settings.balancers for t in settings.tenants}
@@ -716,7 +716,7 @@
                 self.backoff.succeeded(event.service_time)
                 self.told_at, self.doubt_at = self.now, math.inf
             self.servers.take_list(event, self.now)
-            self.admission.set_least(len(self.servers.known), self.settings.balancers)
+            self.admission.set_min_limit(len(self.servers.known), self.settings.balancers)
 
     def on_arrival(self, event: Arrival, fresh: list[Call]) -> None:
         if event.call in self.gate.calls or event.call in self.gate.over:
@@ -727,7 +727,7 @@
             return
         self.arrivals += 1
         now = self.now
-        worth = cls.worth
+        worth = cls.utility
         if self.settings.worth_by_work and event.work > 0:
             worth *= event.work
         if self.settings.stage == 0 and event.tenant in self.quota:
@@ -738,23 +738,23 @@
         # What the client said, not what is left of it: a pause of this instance is no wait of the client's.
         stated = event.stated_timeout if 0 < event.stated_timeout < math.inf else event.budget
         left = self.aim_left(cls, stated, event.resent)
-        useful = event.budget if cls.late_counts else min(event.budget, left)
+        useful = event.budget if cls.late_answers_count else min(event.budget, left)
         call = Call(event.call, cls, worth, now, now + event.budget, now + useful)
         self.gate.calls[call.id] = call
-        self.admission.history.append(worth)
+        self.admission.recent_utilities.append(worth)
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
         self.rescue_tokens = min(RESCUE_BURST, self.rescue_tokens + RESCUE_SHARE / self.settings.stages)
         fresh.append(call)
 
     def admit(self, call: Call) -> None:
         # W grows only while it is what limits. A cut that keeps it from filling would keep itself in force.
-        slack = self.busy + len(self.queue) + 1 <= SLACK * self.admission.window
+        slack = self.busy + len(self.queue) + 1 <= UNRESTRICTED_FRACTION * self.admission.concurrency_limit
         if (slack or self.admission.admits(call.worth)) and call.useful_until > self.now:
             self.hold(call)
         else:
             self.refuse(call)
 
-    def aim_left(self, cls: Kind, budget: float, resent: bool) -> float:
+    def aim_left(self, cls: ClassState, budget: float, resent: bool) -> float:
         """What is left of the aim. An inner call's budget is what its caller's instance left it: its useful
         time. At the first tier a budget below the usual one tells that the client's whole time runs out, so
         how long it has waited over its earlier tries. Guards against work for answers that come too late,
@@ -762,10 +762,10 @@
         clients mark their retries, one that is not marked has not waited, however short its budget. Harm: a
         client that forgets the mark gets work that comes too late."""
         first = self.settings.clients_mark_retries and not resent
-        usual = cls.usual_budget(budget)  # also learned from first tries
+        usual = cls.record_budget(budget)  # also learned from first tries
         if self.settings.stage or first or budget >= usual - STEP:
-            return cls.aim
-        return cls.aim - (cls.deadline - budget)
+            return cls.latency_objective
+        return cls.latency_objective - (cls.deadline - budget)
 
     def hold(self, call: Call) -> None:
         call.queued = True
@@ -776,7 +776,7 @@
         client that is told nothing comes back sooner, into the same crowd."""
         if not self.settings.may_advise_wait:
             return 0.0
-        return min(self.settings.max_wait_advice, max(STEP, ADVICE * self.admission.proc))
+        return min(self.settings.max_wait_advice, max(STEP, ADVICE * self.admission.latency_estimate))
 
     def refuse(self, call: Call) -> None:
         self.gate.answer(call, self.advice())
@@ -837,7 +837,7 @@
         left = call.useful_until - now
         # What never ran has multiplied no work; in an inner tier giving it up wastes the work above.
         price = RETRY_UNSEEN if status in NEVER_RAN else 1.0
-        if self.gate.may_repeat(call) and left > cls.mean.value and self.retry_tokens >= price:
+        if self.gate.may_repeat(call) and left > cls.mean_latency.value and self.retry_tokens >= price:
             self.retry_tokens -= price
             self.hold(call)
         else:
@@ -871,22 +871,22 @@
         excused = broken and (lost or servers.alive(server, now))
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
-            cls.took(elapsed)
+            cls.record_latency(elapsed)
         # An error tells nothing of how much the servers can hold: most come from a tier below, for a reset or
         # a refusal there. Counted as a bad sign, one call failing in eight kept W shut on sound servers.
-        if ok and elapsed <= cls.target:
-            admission.good(busy)
+        if ok and elapsed <= cls.target_latency:
+            admission.on_within_target(busy)
         elif status == Status.FULL and own:
             pass  # this server's own fault too
         elif broken and attempt.late and not attempt.lost:
-            admission.window += admission.step()  # a broken connection, not a crowd, kept it so long
-        elif status == Status.TIMEOUT and elapsed < cls.target:
+            admission.concurrency_limit += admission.limit_step()  # a broken connection, not a crowd, kept it so long
+        elif status == Status.TIMEOUT and elapsed < cls.target_latency:
             pass  # it had less time than an answer may take
         elif not attempt.late and attempt.counted and (ok or status in (Status.TIMEOUT, Status.FULL)):
-            admission.bad()
+            admission.on_over_target()
         # capacity: calls held against latency in units of the class's mean
-        latency = elapsed / cls.mean.value
-        if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
+        latency = elapsed / cls.mean_latency.value
+        if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean_latency.value):
             spent = min(MOST_LATENCIES, latency + (not ok))
             (servers.on_new if attempt.opened else servers.on_open).add(spent, OPEN_MEMORY)
         if not ok:
@@ -970,21 +970,21 @@
         self.last_step = now
         admission, servers = self.admission, self.servers
         admission.observe_rate(self.arrivals, span)
-        servers.send_rate += (self.sends / span - servers.send_rate) * min(1.0, span / MEMORY)
+        servers.send_rate += (self.sends / span - servers.send_rate) * min(1.0, span / AVERAGING_TIME)
         self.arrivals = self.sends = 0
         for name, quota in self.quota.items():
             self.quota_left[name] = min(max(1.0, quota), self.quota_left[name] + quota * span)
         for cls in self.kinds.values():
-            cls.learn_base(span)
+            cls.update_target(span)
         self.watch()
         self.watch_ages()
-        if admission.latency.count:
-            servers.unit = max(admission.latency.value, 1e-3)
+        if admission.mean_latency.count:
+            servers.unit = max(admission.mean_latency.value, 1e-3)
         servers.fill_tokens(now, span)
         servers.fade(span)
         servers.idle_safe = min(self.settings.conn_idle, servers.idle_safe * (1 + span / IDLE_DOUBLES))
         self.probe(span)
-        admission.set_cut()
+        admission.update_threshold()
 
     def watch(self) -> None:
         if (not self.watching and self.now >= self.watch_at) or self.now >= self.doubt_at:
@@ -1010,20 +1010,20 @@
         for attempt in self.out.values():
             age = now - attempt.sent_at
             cls = attempt.call.cls
-            if age > RESCUE_AGE * cls.mean.value and self.overtaken(attempt):
+            if age > RESCUE_AGE * cls.mean_latency.value and self.overtaken(attempt):
                 self.lose(attempt)
             if attempt.counted:
                 total += age
                 counted += 1
-                if not attempt.late and age > cls.target:
+                if not attempt.late and age > cls.target_latency:
                     attempt.late = True
-                    self.admission.bad()
-            if age > RESCUE_AGE * cls.mean.value and not attempt.rescued:
+                    self.admission.on_over_target()
+            if age > RESCUE_AGE * cls.mean_latency.value and not attempt.rescued:
                 stuck.append(attempt)
-        self.admission.age = total / counted if counted else 0.0
+        self.admission.mean_age_in_flight = total / counted if counted else 0.0
         for attempt in stuck:
             server, cls = attempt.server, attempt.call.cls
-            known = cls.mean.count > 0
+            known = cls.mean_latency.count > 0
             if server.last_ok < attempt.sent_at and not server.ejected_until and not attempt.blamed:
                 attempt.blamed = True
                 server.slow_streak += 1
@@ -1031,7 +1031,7 @@
                     self.eject(server, hard=False)
             # Before its first answer an instance knows nothing of what lies below, and the further attempts
             # of all that have just started multiply along a chain. Harm: first calls on a hung server stay.
-            if known or now - attempt.sent_at > cls.target:
+            if known or now - attempt.sent_at > cls.target_latency:
                 self.rescue(attempt)
 
     def overtaken(self, attempt: Attempt) -> bool:
@@ -1057,7 +1057,7 @@
             attempt.counted = False
             self.busy -= 1
         if attempt.late:
-            self.admission.window += self.admission.step()  # it was no sign of a crowd
+            self.admission.concurrency_limit += self.admission.limit_step()  # it was no sign of a crowd
 
     def rescue(self, attempt: Attempt) -> None:
         """A further attempt for a call that seems stuck, where its class allows it. Most such calls are
@@ -1067,7 +1067,7 @@
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.out > 1:
             return
-        mean = call.cls.mean.value
+        mean = call.cls.mean_latency.value
         left = call.useful_until - self.now
         time_yet = left > max(RESCUE_LEFT * mean, mean + 2 * STEP) and not attempt.server.ejected_until
         if time_yet or left < mean or min(self.retry_tokens, self.rescue_tokens) < 1:
@@ -1093,7 +1093,7 @@
             return
         now = self.now
         self.renew_leases()
-        rate = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
+        rate = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.arrival_rate)
         self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + rate * span))
         for server in self.servers.known.values():
             due = server.ejected_until and now >= server.ejected_until and not server.probe_out
@@ -1114,7 +1114,7 @@
         if call.asked is None:
             call.asked = []
             servers = self.servers
-            pace = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.rate)
+            pace = max(PROBES_LEAST, PROBES_PER_CALL * self.admission.arrival_rate)
             if call.attempts or call.deadline - self.now < 3 * ASK_WAIT:
                 return False
             if len(servers.pool) < pace * servers.unit or servers.unit < 2 * ASK_WAIT:
@@ -1141,9 +1141,9 @@
         place = 0
         now = self.now
         queue, servers = self.queue, self.servers
-        while place < len(queue) and self.busy + 1 <= self.admission.window:
+        while place < len(queue) and self.busy + 1 <= self.admission.concurrency_limit:
             call = queue[place]
-            if self.busy and call.useful_until - now < call.cls.mean.value and not call.out:
+            if self.busy and call.useful_until - now < call.cls.mean_latency.value and not call.out:
                 # It would most likely end too late: work for nothing. With nothing else out it is sent all
                 # the same, so that a mean that rose too far can fall again.
                 del queue[place]
@@ -1168,7 +1168,7 @@
                     place += 1
                 continue
             server, load = choice
-            until = call.deadline if call.cls.late_counts else max(call.useful_until, now + STEP)
+            until = call.deadline if call.cls.late_answers_count else max(call.useful_until, now + STEP)
             idle = servers.idle(server, now)
             if idle > servers.idle_safe and servers.opening < OPEN_DEAR:
                 self.actions.append(CloseIdle(server.id))
@@ -1215,14 +1215,14 @@
         if not self.queue:
             return
         now = self.now
-        wait = self.admission.proc / self.admission.window
+        wait = self.admission.latency_estimate / self.admission.concurrency_limit
         kept: list[Call] = []
         for call in self.queue:
             left = call.useful_until - now
-            fits = not kept or (len(kept) + 1) * wait + TAIL * call.cls.mean.value <= left
+            fits = not kept or (len(kept) + 1) * wait + TAIL * call.cls.mean_latency.value <= left
             # A call that asks its candidates goes out or comes back here before its deadline; one with less
             # than a mean latency left would be work for nothing, most of all where servers are crowded.
-            asking = now < call.asked_until - 1e-9 and left > call.cls.mean.value
+            asking = now < call.asked_until - 1e-9 and left > call.cls.mean_latency.value
             if fits and left > 0 and (asking or call.deadline - now > ANSWER_MARGIN):
                 kept.append(call)
             else:
--- a/granitepoint/modelcheck/cold.py
+++ b/granitepoint/modelcheck/cold.py
@@ -52,7 +52,7 @@
         self.fleet = Fleet(settings, instances, servers, work, seed, type(self).make)
         self.fleet.busy = busy
         for instance in self.fleet.instances:
-            instance.admission.window = window
+            instance.admission.concurrency_limit = window
         self.fleet.run(warm_up)
 
     def server(self, which: int) -> int:
--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -51,7 +51,7 @@
     def begin(self, options: dict[str, Any], seed: int, now: float, window: float, servers: int) -> None:
         make = type(self).make
         self.world = World(Settings(**options), seed, [rule() for rule in self.checkers], make, now)
-        self.world.balancer.admission.window = window
+        self.world.balancer.admission.concurrency_limit = window
         entries = [draw.entry(server) for server in range(1, servers + 1)]
         self.world.tell(ServerList(ListKind.SAVED, entries))
 
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -171,13 +171,13 @@
             )
             log.info(
                 "figures",
-                window=admission.window, latency_s=admission.proc, rate_per_s=admission.rate,
-                cut=admission.cut, out=self.balancer.busy, held=len(self.balancer.queue),
+                window=admission.concurrency_limit, latency_s=admission.latency_estimate, rate_per_s=admission.arrival_rate,
+                cut=admission.utility_threshold, out=self.balancer.busy, held=len(self.balancer.queue),
                 list_confirmed=int(self.balancer.health.confirmed),
                 list_lease_s=self.balancer.list_lease.expires_at - time.monotonic(),
                 **{f"servers.{state}": count for state, count in sorted(states.items())},
-                **{f"target.{kind.name}_s": kind.target for kind in kinds},
-                **{f"mean.{kind.name}_s": kind.mean.value for kind in kinds},
+                **{f"target.{kind.name}_s": kind.target_latency for kind in kinds},
+                **{f"mean.{kind.name}_s": kind.mean_latency.value for kind in kinds},
                 **{name.replace(" ", "."): count for name, count in sorted(counts.items())},
             )  # fmt: skip
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -49,7 +49,7 @@
         more: dict[str, Any] = {"fall_multiple": MULTIPLE, "fall_within": WITHIN, "cold_from": COLD_FROM}
         setup = settings(classes=[cls], me=me, balancers=instances, cold_for=COLD_FOR, may_probe=True, **more)
         many.append(Balancer(setup, seed * 1000 + me))
-        many[-1].admission.window = 50.0  # what limits is the ramp alone
+        many[-1].admission.concurrency_limit = 50.0  # what limits is the ramp alone
         later(0.0, me, ServerList(ListKind.SAVED, [ServerEntry(s, zone="a") for s in range(warm)]))
         told = ServerList(ListKind.INCREMENTAL, [ServerEntry(COLD, zone="a", started_at=BEGINS)])
         later(BEGINS + 0.3 * chance.random(), me, told)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -35,7 +35,7 @@
     Tenant,
     Watch,
 )
-from granitepoint.admission import Admission, Kind
+from granitepoint.admission import Admission, ClassState
 from granitepoint.logic import (
     CONNECTIONS_FULL,
     FAILING_MEMORY,
@@ -50,80 +50,80 @@
     part = Admission(stage, Random(3))
     for _ in range(20):
         part.observe_latency(latency)
-    part.window, part.rate = window, rate
-    part.history.extend(worths)
+    part.concurrency_limit, part.arrival_rate = window, rate
+    part.recent_utilities.extend(worths)
     return part
 
 
 def test_drop_fraction() -> None:
     # ST = 4 / 0.1 = 40 a second of 50 that come: a fifth is dropped.
-    assert admission(4, 0.1, 50, [1.0] * 20).drop() == pytest.approx(0.2)
-    assert admission(4, 0.1, 39, [1.0] * 20).drop() == 0.0
+    assert admission(4, 0.1, 50, [1.0] * 20).reject_fraction() == pytest.approx(0.2)
+    assert admission(4, 0.1, 39, [1.0] * 20).reject_fraction() == 0.0
 
 
 def test_inner_tiers_refuse_later() -> None:
     # Work above is sunk: one tier down ST weighs 1.5 times.
-    assert admission(4, 0.1, 120, [1.0] * 20, stage=1).drop() == pytest.approx(0.5)
+    assert admission(4, 0.1, 120, [1.0] * 20, stage=1).reject_fraction() == pytest.approx(0.5)
 
 
 def test_nothing_is_refused_without_samples() -> None:
     part = Admission(0, Random(3))
-    part.rate = 1e6
-    part.set_cut()
-    assert part.drop() == 0.0 and part.admits(0.0)
+    part.arrival_rate = 1e6
+    part.update_threshold()
+    assert part.reject_fraction() == 0.0 and part.admits(0.0)
 
 
 def test_cut_and_tie_share() -> None:
     # 70% at 1, 30% at 12. Dropping 0.2 of all refuses 2 in 7 of the cheap ones.
     part = admission(4, 0.1, 50, [1.0] * 70 + [12.0] * 30)
-    part.set_cut()
-    assert part.cut == 1.0 and part.tie == pytest.approx(0.2 / 0.7)
+    part.update_threshold()
+    assert part.utility_threshold == 1.0 and part.tie_reject_probability == pytest.approx(0.2 / 0.7)
     assert part.admits(12.0)
     refused = sum(not part.admits(1.0) for _ in range(7000))
     assert refused == pytest.approx(2000, rel=0.1)
     # Dropping 0.8 of all takes all cheap ones and a third of the others.
-    part.rate = 200
-    part.set_cut()
-    assert part.cut == 12.0 and part.tie == pytest.approx(0.1 / 0.3)
+    part.arrival_rate = 200
+    part.update_threshold()
+    assert part.utility_threshold == 12.0 and part.tie_reject_probability == pytest.approx(0.1 / 0.3)
     assert not part.admits(1.0)
 
 
 def test_cut_takes_the_whole_level_when_the_cdf_just_reaches_the_target() -> None:
     part = admission(4, 0.1, 80, [1.0] * 50 + [12.0] * 50)
-    part.set_cut()
-    assert part.cut == 1.0 and part.tie == pytest.approx(1.0) and not part.admits(1.0)
+    part.update_threshold()
+    assert part.utility_threshold == 1.0 and part.tie_reject_probability == pytest.approx(1.0) and not part.admits(1.0)
 
 
 def test_window_grows_only_while_it_limits_and_shrinks_on_late_answers() -> None:
     part = Admission(0, Random(3))
-    part.starting = False
-    before = part.window
-    part.good(busy=0)
-    assert part.window == before
-    part.good(busy=before)
-    assert part.window > before
-    grown = part.window
-    part.bad()
-    assert part.window < grown
+    part.limit_doubles = False
+    before = part.concurrency_limit
+    part.on_within_target(busy=0)
+    assert part.concurrency_limit == before
+    part.on_within_target(busy=before)
+    assert part.concurrency_limit > before
+    grown = part.concurrency_limit
+    part.on_over_target()
+    assert part.concurrency_limit < grown
     for _ in range(100):
-        part.bad()
-    assert part.window == 2
+        part.on_over_target()
+    assert part.concurrency_limit == 2
     # Found in incident ibba0b4: more instances than servers, each with two calls out.
-    part.set_least(servers=20, balancers=80)
+    part.set_min_limit(servers=20, balancers=80)
     for _ in range(100):
-        part.bad()
-    assert part.window == 1
+        part.on_over_target()
+    assert part.concurrency_limit == 1
 
 
 def test_outstanding_ages_raise_proc() -> None:
     part = admission(4, 0.1, 50, [1.0] * 20)
-    part.age = 1.0
-    assert part.proc == pytest.approx(0.5)
+    part.mean_age_in_flight = 1.0
+    assert part.latency_estimate == pytest.approx(0.5)
 
 
 def full(driver: Driver) -> None:
     """Fills the window with calls, so that the next ones are held."""
-    driver.balancer.admission.window = 2.0
+    driver.balancer.admission.concurrency_limit = 2.0
     driver.arrive(1001)
     driver.arrive(1002)
 
@@ -134,9 +134,9 @@
     driver = Driver(settings(classes=[cheap, dear, *settings().classes]))
     full(driver)
     part = driver.balancer.admission
-    part.latency.value, part.latency.count = 0.4, 0.0  # a place waits 0.4 / 2 = 0.2 s
+    part.mean_latency.value, part.mean_latency.count = 0.4, 0.0  # a place waits 0.4 / 2 = 0.2 s
     for kind in driver.balancer.kinds.values():
-        kind.mean.value = 0.2
+        kind.mean_latency.value = 0.2
     # Within an aim of 1 s: 0.2 n + 2 x 0.2 <= 1 allows three places.
     actions = driver.feed(*[Arrival(call, "cheap", 2.0) for call in (1, 2, 3, 4)])
     assert [a for a in actions if isinstance(a, Refuse)] == [Refuse(4)]
@@ -149,7 +149,7 @@
 def test_one_place_remains() -> None:
     driver = Driver(settings())
     full(driver)
-    driver.balancer.admission.latency.value = 50.0
+    driver.balancer.admission.mean_latency.value = 50.0
     actions = driver.arrive(1)
     assert not [a for a in actions if isinstance(a, Refuse)]
     assert [call.id for call in driver.balancer.queue] == [1]
@@ -157,7 +157,7 @@
 
 def test_whole_batch_is_taken_in_before_the_worthiest_goes() -> None:
     driver = Driver(settings())
-    driver.balancer.admission.window = 1.0
+    driver.balancer.admission.concurrency_limit = 1.0
     actions = driver.feed(Arrival(1, "once", 2.0), Arrival(2, "safe", 2.0))
     assert only_send(actions).call == 2
 
@@ -381,7 +381,7 @@
 
 def test_target_of_inner_tiers_is_smaller() -> None:
     cls = settings().classes[0]
-    assert Kind(cls, 1).least_target == pytest.approx(Kind(cls, 0).least_target / 2)
+    assert ClassState(cls, 1).min_target_latency == pytest.approx(ClassState(cls, 0).min_target_latency / 2)
 
 
 def test_a_new_instance_takes_no_call_for_stuck_before_its_first_answer() -> None:
@@ -496,18 +496,18 @@
     # aim. W closed on the first answers, before the unhurried latency could be learned, and half was refused.
     driver = Driver(settings(may_probe=False))
     part = driver.balancer.admission
-    before = part.window
+    before = part.concurrency_limit
     for call in range(15):
         driver.wait(1.0)
         driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.7)
-    assert part.window >= before and part.drop() == 0.0
+    assert part.concurrency_limit >= before and part.reject_fraction() == 0.0
 
 
 def test_answer_within_the_same_instant_is_no_fault() -> None:
     # Found by the property test: a mean latency of 0 divided.
     driver = Driver(settings())
     driver.settle(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
-    assert driver.balancer.kinds["safe"].mean.value > 0
+    assert driver.balancer.kinds["safe"].mean_latency.value > 0
 
 
 def test_few_calls_and_cheap_probes_ask_before_sending() -> None:
@@ -529,16 +529,16 @@
 
 def test_target_is_never_below_what_an_unhurried_call_takes() -> None:
     # Found on a quiet day of wa-payments: the unhurried latency was near the target and W closed to 5.
-    kind = Kind(settings().classes[0], 0)
-    least = kind.least_target
+    kind = ClassState(settings().classes[0], 0)
+    least = kind.min_target_latency
     for _ in range(60):
-        kind.took(0.3)
-    kind.learn_base(0.05)
-    assert kind.target == pytest.approx(1.75 * 0.3) and kind.target > least
+        kind.record_latency(0.3)
+    kind.update_target(0.05)
+    assert kind.target_latency == pytest.approx(1.75 * 0.3) and kind.target_latency > least
     for _ in range(300):
-        kind.took(0.9)
-    kind.learn_base(0.05)
-    assert kind.target < 0.54  # a crowd does not raise it at once
+        kind.record_latency(0.9)
+    kind.update_target(0.05)
+    assert kind.target_latency < 0.54  # a crowd does not raise it at once
 
 
 def test_a_long_tail_does_not_make_the_unhurried_latency_too_low() -> None:
@@ -547,11 +547,11 @@
     chance = Random(11)
     bases = []
     for _ in range(20):
-        kind = Kind(settings().classes[0], 0)
+        kind = ClassState(settings().classes[0], 0)
         for _ in range(2000):
-            kind.took(chance.lognormvariate(math.log(0.3) - 0.5, 1.0))  # of mean 0.3
-            kind.learn_base(0.05)
-        bases.append(kind.base)
+            kind.record_latency(chance.lognormvariate(math.log(0.3) - 0.5, 1.0))  # of mean 0.3
+            kind.update_target(0.05)
+        bases.append(kind.unloaded_latency)
     assert sum(bases) / len(bases) > 0.25
 
 
@@ -573,12 +573,12 @@
 def test_hopeless_call_is_not_sent_while_others_are_out() -> None:
     # Found in incident i37a472: calls with less than a mean latency left were sent and ended too late.
     driver = Driver(settings())
-    driver.balancer.kinds["safe"].mean.value = 0.4
+    driver.balancer.kinds["safe"].mean_latency.value = 0.4
     only_send(driver.arrive(1))
     actions = driver.arrive(2, budget=0.3)
     assert Refuse(2) in actions and not sends(actions)
     alone = Driver(settings())
-    alone.balancer.kinds["safe"].mean.value = 0.4
+    alone.balancer.kinds["safe"].mean_latency.value = 0.4
     assert len(sends(alone.arrive(2, budget=0.3))) == 1
 
 
@@ -616,15 +616,15 @@
     for call in range(30):
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
     balancer = driver.balancer
-    window, proc = balancer.admission.window, balancer.admission.proc
+    window, proc = balancer.admission.concurrency_limit, balancer.admission.latency_estimate
     silent = only_send(driver.arrive(30, "once"))
     for call in range(31, 60):
         driver.wait(0.05)
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
     assert balancer.busy == 0 and silent.call in balancer.gate.calls
     driver.settle(silent, Status.TIMEOUT, elapsed=1.9, final=True)
-    assert balancer.admission.window >= window
-    assert balancer.admission.proc == pytest.approx(proc, rel=0.1)
+    assert balancer.admission.concurrency_limit >= window
+    assert balancer.admission.latency_estimate == pytest.approx(proc, rel=0.1)
 
 
 def test_the_calls_of_a_hung_server_keep_their_places() -> None:
@@ -635,7 +635,7 @@
     driver.arrive(30, "once")
     for _ in range(4):
         driver.wait(0.05)
-    assert driver.balancer.busy == 1 and driver.balancer.admission.age > 0.1
+    assert driver.balancer.busy == 1 and driver.balancer.admission.mean_age_in_flight > 0.1
 
 
 def test_a_late_call_that_its_connection_broke_is_no_sign_of_a_crowd() -> None:
@@ -643,12 +643,12 @@
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
-    window = driver.balancer.admission.window
+    window = driver.balancer.admission.concurrency_limit
     send = only_send(driver.arrive(60, "once"))
-    driver.wait(driver.balancer.kinds["once"].target + 0.1)
-    assert driver.balancer.admission.window < window  # by its age it looks like one
+    driver.wait(driver.balancer.kinds["once"].target_latency + 0.1)
+    assert driver.balancer.admission.concurrency_limit < window  # by its age it looks like one
     driver.settle(send, Status.RESET, elapsed=0.5, final=True)
-    assert driver.balancer.admission.window == pytest.approx(window, rel=0.02)
+    assert driver.balancer.admission.concurrency_limit == pytest.approx(window, rel=0.02)
 
 
 def test_a_time_out_sooner_than_the_target_is_no_sign_of_a_crowd() -> None:
@@ -656,11 +656,11 @@
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
         driver.settle(only_send(driver.arrive(call, "once")), Status.OK)
-    window, target = driver.balancer.admission.window, driver.balancer.kinds["once"].target
+    window, target = driver.balancer.admission.concurrency_limit, driver.balancer.kinds["once"].target_latency
     driver.settle(only_send(driver.arrive(60, "once")), Status.TIMEOUT, elapsed=target / 2, final=True)
-    assert driver.balancer.admission.window == window
+    assert driver.balancer.admission.concurrency_limit == window
     driver.settle(only_send(driver.arrive(61, "once")), Status.TIMEOUT, elapsed=target + 0.1, final=True)
-    assert driver.balancer.admission.window < window
+    assert driver.balancer.admission.concurrency_limit < window
 
 
 def test_a_report_of_fewer_calls_than_are_out_frees_the_place_of_a_silent_connection() -> None:
@@ -687,15 +687,15 @@
     for call in range(40):
         send = only_send(driver.arrive(call, "once"))
         driver.settle(send, Status.OK)
-    window = driver.balancer.admission.window
+    window = driver.balancer.admission.concurrency_limit
     for call in range(40, 60):
         send = only_send(driver.arrive(call, "once"))
         driver.settle(send, Status.ERROR, final=True)
         driver.wait(0.05)
-    assert driver.balancer.admission.window == window
+    assert driver.balancer.admission.concurrency_limit == window
     send = only_send(driver.arrive(60, "once"))
     driver.settle(send, Status.OK, elapsed=1.5)  # a late answer does shut it
-    assert driver.balancer.admission.window < window
+    assert driver.balancer.admission.concurrency_limit < window
 
 
 def test_a_connection_lost_at_rest_is_known_by_its_own_rest() -> None:
@@ -846,13 +846,13 @@
     driver = Driver(settings(may_probe=False), servers=entries(1, 2, 3))
     out = [only_send(driver.arrive(call)) for call in range(3)]
     part = driver.balancer.admission
-    before = (part.window, part.proc)
+    before = (part.concurrency_limit, part.latency_estimate)
     driver.now += 1.9
     actions = driver.feed(
         *[Outcome(send.call, 0, send.server, Status.OK, 1.9, True) for send in out[:2]],
         Outcome(out[2].call, 0, out[2].server, Status.TIMEOUT, 1.9, False),
     )
-    assert (part.window, part.proc) == before and Refuse(out[2].call) in actions
+    assert (part.concurrency_limit, part.latency_estimate) == before and Refuse(out[2].call) in actions
     assert not any(server.ejected_until for server in driver.balancer.servers.known.values())
 
 
@@ -860,7 +860,7 @@
     # Found on the quiet day of pratiche-nord: inner calls with less than 0.1 s left were refused while they
     # waited a hundredth for their probes.
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
-    driver.balancer.kinds["safe"].mean.value = 0.05
+    driver.balancer.kinds["safe"].mean_latency.value = 0.05
     actions = driver.arrive(1, budget=0.08)
     assert not sends(actions) and Refuse(1) not in actions
     assert len(sends(driver.wait(0.012))) == 1
@@ -870,7 +870,7 @@
     """Guards against a cut that holds itself: what it refuses keeps W from filling, and so from growing."""
     balancer = Balancer(settings(classes=[SAFE, ONCE]), 1)
     balancer.handle(100.0, [ServerList(ListKind.SAVED, entries(1, 2, 3, 4))])
-    balancer.admission.cut, balancer.admission.tie, balancer.admission.window = 1.0, 1.0, 5.0
+    balancer.admission.utility_threshold, balancer.admission.tie_reject_probability, balancer.admission.concurrency_limit = 1.0, 1.0, 5.0
     said: list[Action] = []
     for call in range(8):
         said += balancer.handle(100.001 + call / 1000, [Arrival(call=call, class_name="once", budget=2.0)])
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -10,7 +10,7 @@
 from hypothesis import Phase
 
 from granitepoint import Balancer, Event, ListKind, Outcome, Refuse, ServerList, Settings, Status
-from granitepoint.admission import Kind
+from granitepoint.admission import ClassState
 from granitepoint.logic import Attempt, Call, Obligations, Server, Servers
 from granitepoint.modelcheck import __main__ as command
 from granitepoint.modelcheck.__main__ import main
@@ -36,7 +36,7 @@
 
 class ForgetsTheGroup(Obligations):
     @staticmethod
-    def same_group(cls: Kind, attempt: Attempt, server: Server) -> bool:
+    def same_group(cls: ClassState, attempt: Attempt, server: Server) -> bool:
         return True
 
 
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -25,7 +25,7 @@
     TimerFired,
     Watch,
 )
-from granitepoint.admission import Kind
+from granitepoint.admission import ClassState
 from granitepoint.logic import Call, Obligations, Server
 
 NEVER = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
@@ -37,7 +37,7 @@
 ) -> tuple[Obligations, Call]:
     """A gate and a call with one earlier attempt on server 1, sent at 100.0; status None: still out."""
     gate = Obligations(settings(may_duplicate=duplicate, max_attempts=cap), [])
-    kind = Kind(next(c for c in CLASSES if c.name == cls), 0)
+    kind = ClassState(next(c for c in CLASSES if c.name == cls), 0)
     call = Call(7, kind, 1.0, 100.0, 102.0, 101.0)
     gate.calls[7] = call
     attempt = gate.send(call, server(1), 100.0, 1.0, 0.0)
@@ -193,7 +193,7 @@
 
 def test_cold_server_is_sent_no_more_than_its_budget() -> None:
     driver = Driver(settings(), servers=entries(1, 2, 3, 4))
-    driver.balancer.admission.window = 20.0
+    driver.balancer.admission.concurrency_limit = 20.0
     call, out = 0, list[Send]()
     for _ in range(200):  # a warm phase, so that the instance knows its own rate: 40 calls a second
         call += 1
@@ -267,7 +267,7 @@
 @pytest.mark.parametrize("group", ["zone", "cell"])
 def test_the_group_of_an_attempt_is_that_of_its_server_when_it_was_sent(group: str) -> None:
     """A list that names the server in another zone or cell later moves no copy that may have run there."""
-    kind = Kind(replace(next(c for c in CLASSES if c.name == "zoned"), group=group), 0)
+    kind = ClassState(replace(next(c for c in CLASSES if c.name == "zoned"), group=group), 0)
     gate = Obligations(settings(), [])
     call = Call(7, kind, 1.0, 100.0, 102.0, 101.0)
     gate.calls[7] = call
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -176,7 +176,7 @@
     it sends in any window stays under multiple x capacity x window, with capacity its share of a warm one."""
     setup = settings(fall_multiple=3.0, fall_within=1.5, cold_from=0.2, cold_for=10.0, may_probe=True)
     driver = Driver(setup, seed, entries(*range(1, servers + 1)))
-    driver.balancer.admission.window = 50.0
+    driver.balancer.admission.concurrency_limit = 50.0
     chance = Random(seed)
     call, first, out, cold = 0, driver.now, list[tuple[float, Send]](), list[float]()
     restarted = False
