--- a/granitepoint/admission.py
+++ b/granitepoint/admission.py
@@ -15,7 +15,7 @@
 
 from granitepoint.interface import RequestClass
 
-# s, averaging time of the arrival rate and the latency: long compared to a call, short compared to a failure
+# s, averaging time of the arrival rate and the latency: long compared to a call, short compared to an outage
 AVERAGING_TIME = 2.0
 MIN_SAMPLES = 10  # calls; with fewer in the latency or the recent utilities nothing is refused
 MAX_RECENT_UTILITIES = 300  # the utility threshold then has an error of about 3 percentage points
@@ -165,7 +165,7 @@
             )
 
     def limit_step(self) -> float:
-        """By how much one answer over its target lowers the limit."""
+        """By how much one call over its target lowers the limit, in calls."""
         return min(MAX_STEP_FRACTION * self.concurrency_limit, 1 / math.sqrt(self.concurrency_limit))
 
     def on_within_target(self, busy: float) -> None:
@@ -181,7 +181,7 @@
             )
 
     def on_over_target(self) -> None:
-        """Lowers the limit for an answer over its target."""
+        """Lowers the limit for a call that took longer than its target, or was rejected by a full server."""
         self.limit_doubles = False
         self.concurrency_limit = max(self.min_concurrency_limit, self.concurrency_limit - self.limit_step())
 
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -144,13 +144,13 @@
     if settings.ask_for_list:
         instances = settings.balancers * settings.stages
         first = min(logic.FIRST_ASK, logic.FIRST_ASK_EACH * instances, settings.must_ask_within / 4)
-        longest = min(backoff.LONGEST_PAUSE, logic.FAILED_ASK * settings.must_ask_within)
+        longest = min(backoff.MAX_PAUSE, logic.FAILED_ASK * settings.must_ask_within)
         growing = f"at most, after a call that waited in vain; growing with each, up to {longest:g} s"
         entries += [
             Entry("first watch", first, SECONDS, "at the latest after the start, at a random time"),
-            Entry("asked again", min(backoff.CROWDED.first, longest), SECONDS, growing),
-            Entry("while it is away", backoff.AWAY.longest, SECONDS, "at most, after a refused call"),
-            Entry("list used for", list_lease.TOLD_AFTER, SECONDS, "after the last proof"),
+            Entry("asked again", min(backoff.OVERLOADED.first, longest), SECONDS, growing),
+            Entry("while it is away", backoff.UNREACHABLE.maximum, SECONDS, "at most, after a refused call"),
+            Entry("list used for", list_lease.NOTIFIED_AFTER, SECONDS, "after the last proof"),
             Entry("doubted", logic.DOUBT_SPACING, SECONDS, "without news, while a listed server refuses"),
         ]
     else:
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -23,7 +23,7 @@
 
 from granitepoint import interface as api
 from granitepoint.logic import Balancer
-from granitepoint.membership.list_lease import CONTINUES, TOLD_AFTER
+from granitepoint.membership.list_lease import MAX_WATCH_GAP, NOTIFIED_AFTER
 from granitepoint.net import discovery as net
 from granitepoint.net.listing import Listing
 
@@ -145,7 +145,7 @@
         query = parse_qs(target.partition("?")[2])
         since = int(query["from"][0]) if "from" in query else None
         hold = float(query.get("hold_ms", ["0"])[0]) / 1000
-        continued = self.watched[0] == at and loop.time() - self.watched[1] <= CONTINUES
+        continued = self.watched[0] == at and loop.time() - self.watched[1] <= MAX_WATCH_GAP
         async with asyncio.timeout(timeout):
             answer = await self.service.handle(since, hold, continued)
         self.watched = (at if since is not None and answer[0] == OK else None, loop.time())
@@ -173,7 +173,7 @@
         cls = api.RequestClass("read", worth=1, aim=0.2, deadline=0.5, late_worth=0.5)
         settings = api.Settings(
             classes=[cls], zone="a", balancers=self.instances // STAGES, stages=STAGES,
-            stage=self.number % STAGES, me=self.number // STAGES, ask_for_list=True, notified_after=TOLD_AFTER,
+            stage=self.number % STAGES, me=self.number // STAGES, ask_for_list=True, notified_after=NOTIFIED_AFTER,
         )  # fmt: skip
         self.seed += 1
         self.balancer = Balancer(settings, self.seed)
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -47,8 +47,8 @@
     WatchLost,
     WatchOpened,
 )
-from granitepoint.membership.backoff import LONGEST_PAUSE, Backoff
-from granitepoint.membership.evidence import AT_ONCE, Failure
+from granitepoint.membership.backoff import MAX_PAUSE, Backoff
+from granitepoint.membership.evidence import IMMEDIATE_FAILURE_TIME, Failure
 from granitepoint.membership.health_checks import HealthLeases
 from granitepoint.membership.list_lease import ListLease
 
@@ -186,7 +186,7 @@
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         self.settings = settings
         self.list_lease = ListLease(settings.notified_after)
-        self.health = HealthLeases(confirmed=not settings.ask_for_list, checkable=settings.may_probe)
+        self.health = HealthLeases(confirmed=not settings.ask_for_list, checks_allowed=settings.may_probe)
         self.actions = actions
         self.calls: dict[int, Call] = {}
         self.over: dict[int, None] = {}  # ids of the last calls that are over: no news
@@ -632,7 +632,7 @@
         self.watching = not settings.ask_for_list
         self.watch_at = -1.0
         self.asked_at = 0.0  # the begin of the last call of a watch, as far as known
-        longest_pause = min(LONGEST_PAUSE, FAILED_ASK * settings.must_ask_within)
+        longest_pause = min(MAX_PAUSE, FAILED_ASK * settings.must_ask_within)
         instances = settings.balancers * settings.stages
         place = (settings.me + settings.stage / settings.stages) * GOLDEN % 1.0
         self.backoff = Backoff(self.random, longest_pause, instances, place)
@@ -659,10 +659,10 @@
             elif type(event) is WatchLost:
                 self.on_watch_lost(event)
             elif type(event) is WatchOpened:
-                self.list_lease.watching(event.started_at, event.hold)
+                self.list_lease.on_watch_opened(event.started_at, event.hold)
             elif type(event) is DiscoveryFailed:
                 self.asked_at = event.started_at
-                self.list_lease.failed(event.failure, event.started_at, event.ended_at, event.older_call_open)
+                self.list_lease.on_failure(event.failure, event.started_at, event.ended_at, event.older_call_open)
             elif type(event) is IdleConnectionClosed:
                 self.servers.doubt_rest(event.idle_for)
             elif type(event) is ClientGone:
@@ -695,24 +695,24 @@
 
     # events
     def on_watch_lost(self, event: WatchLost) -> None:
-        self.health.lose(self.now, event.notified_within)
+        self.health.lose_confirmation(self.now, event.notified_within)
         if event.moved:
-            self.list_lease.move(self.now)
+            self.list_lease.on_move(self.now)
         elif event.silent:
-            self.list_lease.silent(self.now)
+            self.list_lease.on_silence(self.now)
 
     def on_list(self, event: ServerList) -> None:
         if event.kind is ListKind.FAILED:
-            self.health.lose(self.now, math.inf)
+            self.health.lose_confirmation(self.now, math.inf)
             self.watching = False
             waited = self.now - self.asked_at
-            failure = event.failure or (Failure.AT_ONCE if waited <= AT_ONCE else Failure.WAITED)
+            failure = event.failure or (Failure.IMMEDIATE if waited <= IMMEDIATE_FAILURE_TIME else Failure.WAITED)
             self.watch_at = self.now + self.backoff.failed(failure, self.now)
         else:
             if event.kind is not ListKind.SAVED:
                 self.health.confirm()
                 written_after = self.now if event.written_after is None else event.written_after
-                self.list_lease.listed(written_after, self.now, event.ends_watch)
+                self.list_lease.on_list(written_after, self.now, event.ends_watch)
                 self.backoff.succeeded(event.service_time)
                 self.told_at, self.doubt_at = self.now, math.inf
             self.servers.take_list(event, self.now)
@@ -1084,7 +1084,7 @@
 
     def renew_leases(self) -> None:
         """Paid for by the steady probes that come after, for these bring reports too."""
-        for server in self.health.due(self.servers.pool, self.now, self.busy + len(self.queue)):
+        for server in self.health.servers_to_check(self.servers.pool, self.now, self.busy + len(self.queue)):
             self.probe_tokens = max(-LEASE_DEBT, self.probe_tokens - 1)
             self.send_probe(server)
 
@@ -1155,7 +1155,7 @@
                 continue
             choice = servers.pick(call, self.gate, now)
             if choice is None:
-                if self.health.needed(now):
+                if self.health.required(now):
                     self.renew_leases()
                 if not call.attempts:
                     return
--- a/granitepoint/membership/backoff.py
+++ b/granitepoint/membership/backoff.py
@@ -1,13 +1,17 @@
-"""The pause after a failed call to a service that many ask at once, by what the failure is evidence of.
-
-Where calls waited in turn, all together may come faster than they can be answered. So they are spread over
-rounds. All that lose the service at one moment count their rounds from there, and each calls at its own
-place in them, so that calls come evenly at whatever moment it returns. After some failures in a row rounds
-grow, which guards against congestion collapse (a service that works on calls that nobody waits for any
-more). They grow no further than the service needs to answer every instance, as far as that can be told from
-the least time that an answer took: it may only be away, and all have to be told soon after its return.
-Where nobody listens a call costs the service nothing, and each is proof that it is away: pauses stay short
-against the time that a list may be used after such a proof.
+"""The pause after a failed call to a service that many instances ask at once, by the kind of failure.
+
+If calls were queued at the service, all instances together may send more calls than it can answer. So the
+calls are spread over rounds. All instances that lose the service at the same moment start their rounds there,
+and each makes its call at its own phase of the round. So the calls arrive evenly, at whatever moment the
+service returns.
+
+After several failures in a row the rounds grow. This prevents congestion collapse, in which the service
+spends its time on calls whose callers no longer wait. The rounds grow no longer than the service needs to
+answer every instance, estimated from the shortest time that an answer took: the service may only have been
+down, and all instances have to get an answer soon after its return.
+
+A refused connection costs the service nothing, and each one proves that the service is down. So these pauses
+stay short compared to the time for which a list may be used after such a proof.
 """
 
 from __future__ import annotations
@@ -18,86 +22,98 @@
 
 from granitepoint.membership.evidence import Failure
 
-LONGEST_PAUSE = 60.0  # s
-SHORTEST_ROUND = 4.0  # s between the begins of two calls that waited
-STEADY_ROUNDS = 2  # failures in a row before rounds grow
-LONGEST_ROUND = 8.0  # s to which rounds grow at least
-MEASURED_GROWTH = 2.0  # times what discovery needs for all, to which rounds grow at most where that is known
+MAX_PAUSE = 60.0  # s
+MIN_ROUND_LENGTH = 4.0  # s between the starts of two calls that were queued
+CONSTANT_ROUNDS = 2  # failures in a row before the rounds grow
+# s, the maximum length of a round while the service time is unknown, or where it would allow less.
+DEFAULT_MAX_ROUND_LENGTH = 8.0
+# The maximum length of a round, as a multiple of the time in which the service can answer all instances.
+MAX_ROUND_SERVICE_TIMES = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
-    """The pause after one kind of failure, in seconds."""
+class PausePolicy:
+    """The pause after one kind of failure. Times are in seconds."""
 
     first: float
-    growth: float  # by which each failure in a row makes it longer, of rounds each one after the first few
-    longest: float
-    least_share: float  # of it that chance leaves at least
-    in_rounds: bool = False  # until the instance's place in a round that is this long at least
-
-
-CROWDED = Pause(first=SHORTEST_ROUND, growth=1.15, longest=LONGEST_PAUSE, least_share=0.0, in_rounds=True)
-TURNED_AWAY = Pause(first=1.0, growth=1.1, longest=2.0, least_share=0.5)
-AWAY = Pause(first=1.0, growth=1.0, longest=1.0, least_share=0.5)
-BROKEN = Pause(first=1.0, growth=1.0, longest=1.0, least_share=0.1)
-PAUSES = {
-    Failure.WAITED: CROWDED,
-    Failure.SILENT: CROWDED,
-    Failure.AT_ONCE: TURNED_AWAY,
-    Failure.REFUSED: AWAY,
-    Failure.WATCH_LOST: BROKEN,
-    Failure.WATCH_CUT: BROKEN,
-    Failure.OWN_FAULT: AWAY,
+    growth: float  # factor per failure in a row; for rounds only after the first CONSTANT_ROUNDS
+    maximum: float
+    min_fraction: float  # the lower bound of the random factor on the pause; the upper bound is 1
+    in_rounds: bool = False  # wait for the instance's phase in a round of at least this length
+
+
+OVERLOADED = PausePolicy(
+    first=MIN_ROUND_LENGTH, growth=1.15, maximum=MAX_PAUSE, min_fraction=0.0, in_rounds=True
+)
+REJECTED = PausePolicy(first=1.0, growth=1.1, maximum=2.0, min_fraction=0.5)
+UNREACHABLE = PausePolicy(first=1.0, growth=1.0, maximum=1.0, min_fraction=0.5)
+DISCONNECTED = PausePolicy(first=1.0, growth=1.0, maximum=1.0, min_fraction=0.1)
+PAUSE_POLICIES = {
+    Failure.WAITED: OVERLOADED,
+    Failure.SILENT: OVERLOADED,
+    Failure.IMMEDIATE: REJECTED,
+    Failure.REFUSED: UNREACHABLE,
+    Failure.WATCH_LOST: DISCONNECTED,
+    Failure.WATCH_CUT: DISCONNECTED,
+    Failure.LOCAL_ERROR: UNREACHABLE,
 }
 
 
 class Backoff:
-    """How long to wait after each failure in a row, in seconds."""
+    """How long to wait after each failure in a row. Times are in seconds."""
 
     def __init__(
-        self, random: Random, longest: float = LONGEST_PAUSE, instances: int = 1, place: float = 0.0
+        self, random: Random, max_pause: float = MAX_PAUSE, instances: int = 1, phase: float = 0.0
     ) -> None:
-        """`instances`: how many ask the same service. `place`: of this one among them, from 0 to 1; it is
-        anywhere in the part of a round that it has for itself, lest two of one number call in step."""
-        self.random, self.longest, self.instances = random, longest, instances
-        self.place = (place + random.random() / instances) % 1.0
-        self.failures = 0  # in a row, of calls that discovery took
-        self.round_from: float | None = None  # the begin of the present round; the first is at the loss
+        """`instances`: how many instances ask the same service. `phase`: the place of this instance in a
+        round, from 0 to 1. A random part of 1/`instances` is added, so that two instances with the same
+        number do not call at the same time."""
+        self.random, self.max_pause, self.instances = random, max_pause, instances
+        self.phase = (phase + random.random() / instances) % 1.0
+        self.failures = 0  # in a row, of calls that reached the service
+        self.round_started_at: float | None = None  # the first round starts when the service is lost
         self.round_length = 0.0
-        self.least_turn = math.inf  # s, the shortest that an answer took
+        self.min_service_time = math.inf  # the shortest time that an answer took
 
     @property
-    def longest_round(self) -> float:
-        """To which rounds may grow, in seconds. The least time of an answer is at least that of a turn, and
-        more where each call had to wait: rounds may be longer than they need to be, and not shorter."""
-        for_all = MEASURED_GROWTH * self.least_turn * self.instances
-        return min(self.longest, max(LONGEST_ROUND, for_all))
-
-    def succeeded(self, turn: float | None = None) -> None:
-        """`turn`: s that the answer took, without what the service was asked to wait; None: not known."""
+    def max_round_length(self) -> float:
+        """The length up to which the rounds grow.
+
+        The shortest time that an answer took is an upper bound of the service time: it is longer if every
+        call was queued. So the rounds may be longer than necessary, but not too short.
+        """
+        time_for_all = MAX_ROUND_SERVICE_TIMES * self.min_service_time * self.instances
+        return min(self.max_pause, max(DEFAULT_MAX_ROUND_LENGTH, time_for_all))
+
+    def succeeded(self, service_time: float | None = None) -> None:
+        """Ends the row of failures.
+
+        `service_time`: how long the answer took, without the time that the service was asked to hold the
+        call; None: unknown.
+        """
         self.failures = 0
-        self.round_from = None
-        if turn is not None:
-            self.least_turn = min(self.least_turn, max(0.0, turn))
+        self.round_started_at = None
+        if service_time is not None:
+            self.min_service_time = min(self.min_service_time, max(0.0, service_time))
 
     def failed(self, failure: Failure, now: float) -> float:
-        """The pause from now on."""
-        kind = PAUSES[failure]
-        if self.round_from is None:
-            self.round_from, self.round_length = now, 0.0
-        steady = STEADY_ROUNDS if kind.in_rounds else 0
-        stretch = kind.growth ** min(max(0, self.failures - steady), 50)
-        self.failures += kind.growth > 1
-        if kind.in_rounds:
-            return self._until_own_place(now, min(kind.first * stretch, self.longest_round))
-        drawn = kind.least_share + (1 - kind.least_share) * self.random.random()
-        return min(self.longest, kind.longest, kind.first * stretch) * drawn
-
-    def _until_own_place(self, now: float, length: float) -> float:
-        """The time to this instance's next place, where further rounds have that length."""
-        assert self.round_from is not None
+        """Records a failure and returns the pause from now on."""
+        policy = PAUSE_POLICIES[failure]
+        if self.round_started_at is None:
+            self.round_started_at, self.round_length = now, 0.0
+        constant_failures = CONSTANT_ROUNDS if policy.in_rounds else 0
+        factor = policy.growth ** min(max(0, self.failures - constant_failures), 50)
+        self.failures += policy.growth > 1
+        if policy.in_rounds:
+            return self._until_own_phase(now, min(policy.first * factor, self.max_round_length))
+        random_factor = policy.min_fraction + (1 - policy.min_fraction) * self.random.random()
+        return min(self.max_pause, policy.maximum, policy.first * factor) * random_factor
+
+    def _until_own_phase(self, now: float, length: float) -> float:
+        """The time until this instance's phase comes next. Rounds that start from now on have this length."""
+        assert self.round_started_at is not None
         self.round_length = self.round_length or length
-        while self.round_from + self.place * self.round_length <= now:
-            self.round_from += self.round_length
+        while self.round_started_at + self.phase * self.round_length <= now:
+            self.round_started_at += self.round_length
             self.round_length = length
-        return self.round_from + self.place * self.round_length - now
+        return self.round_started_at + self.phase * self.round_length - now
--- a/granitepoint/membership/evidence.py
+++ b/granitepoint/membership/evidence.py
@@ -1,39 +1,45 @@
-"""What the end of a call to discovery is proof of.
+"""Classifies how a call to discovery failed, by what the failure proves.
 
-The question asked of each: could a change have been told at that moment? A list answers it. So does a refused
-connection: nobody listened. A 503 does not, however soon it came: a crowded discovery turns some away at once
-while it tells others, and one that lets calls wait in turn gives the same 503 in the end.
+The question for each kind is: could discovery have told a change to some instance at that moment? With a list
+it could. With a refused connection it could not, since nobody listened. A 503 proves nothing, however soon it
+came: an overloaded discovery rejects some calls at once while it answers others, and one that queues its
+calls sends the same 503 after the wait.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-AT_ONCE = 0.25  # s within which a call has failed at once: it did not wait in turn
-SHORTEST_TURN = 1.5  # s; a call that failed sooner did not fail for having waited too long
-LONGEST_TURN = 3.0  # s; one that was out for longer was no longer waiting in turn: it was held
-FREE_TURN = 2.5  # s; the same where the answer just before had not waited, so that hardly anyone was in turn
+IMMEDIATE_FAILURE_TIME = 0.25  # s; a call that failed within it has not been queued
+MIN_QUEUE_TIME = 1.5  # s; a call that failed sooner was not rejected for having been queued for too long
+MAX_QUEUE_TIME = 3.0  # s; a call that was open for longer was no longer queued: discovery held it as a watch
+MAX_SHORT_QUEUE_TIME = (
+    2.5  # s; the same if the previous answer was not queued, so that the queue is nearly empty
+)
 
 
 class Failure(Enum):
     """How a call to discovery failed."""
 
-    REFUSED = "refused"  # nobody listens there: nothing can be told at that moment
-    WATCH_LOST = "watch lost"  # a held watch ended: until then every change was told
-    WATCH_CUT = "watch cut"  # the same soon after it began: it may have had a change to tell
-    AT_ONCE = "at once"  # turned away or reset without a wait
-    WAITED = "waited"  # discovery took the call, and others may have been told
-    SILENT = "silent"  # no word in time
-    OWN_FAULT = "own fault"  # this machine could not make the call: says nothing of discovery
-
-
-def classify(waited: float, continued: bool, free: bool = False) -> Failure:
-    """Of a call that was answered with an error, or whose connection ended, after `waited` s. `continued`:
-    it went on with a watch that had just been answered; `free`: that answer had not waited in turn."""
-    if waited <= AT_ONCE:
-        return Failure.AT_ONCE
-    if continued and waited < SHORTEST_TURN:
+    REFUSED = "refused"  # the connection was refused: nobody can be told of a change at that moment
+    WATCH_LOST = "watch lost"  # a watch that discovery held ended; every change up to then has been told
+    WATCH_CUT = "watch cut"  # the same soon after the watch began: it may have had a change to tell
+    IMMEDIATE = "at once"  # rejected or reset without a wait
+    WAITED = "waited"  # discovery accepted the call and queued it; it may have told changes to others
+    SILENT = "silent"  # no answer before the timeout
+    LOCAL_ERROR = "own fault"  # this machine could not make the call; this proves nothing about discovery
+
+
+def classify(waited: float, continued: bool, short_queue: bool = False) -> Failure:
+    """Classifies a call that was answered with an error, or whose connection ended, after `waited` seconds.
+
+    `continued`: the call continued a watch that had just been answered. `short_queue`: that answer had not
+    been queued.
+    """
+    if waited <= IMMEDIATE_FAILURE_TIME:
+        return Failure.IMMEDIATE
+    if continued and waited < MIN_QUEUE_TIME:
         return Failure.WATCH_CUT
-    if continued and waited > (FREE_TURN if free else LONGEST_TURN):
+    if continued and waited > (MAX_SHORT_QUEUE_TIME if short_queue else MAX_QUEUE_TIME):
         return Failure.WATCH_LOST
     return Failure.WAITED
--- a/granitepoint/membership/list_lease.py
+++ b/granitepoint/membership/list_lease.py
@@ -1,10 +1,12 @@
-"""The lease on the list of servers: until when may a proxy send by the list that it has?
+"""The lease on the list of servers: until when a proxy may send requests by the list that it has.
 
-A change counts as told some seconds after discovery had it and could be reached, whether or not it was
-answered. So each list may be used that long beyond the newest moment up to which no change can have gone
-untold. Only proof moves that moment on: a list, a watch that goes on, a discovery that nobody could reach.
-Waits, silence, passed health checks and the mere passing of time are no proof. Without a lease nothing is
-sent: requests wait for a list for a part of their time and are then refused.
+A proxy counts as notified of a change some seconds after discovery had the change and could be reached,
+whether its calls were answered or not. So a list may be used for that time after the latest moment up to
+which the proxy is known to have missed no change.
+
+Only proof moves that moment forward: a list, a watch that stays open, or a discovery that nobody could reach.
+A queued call, silence, a passed health check or the passing of time proves nothing. Without a valid lease
+nothing is sent: requests wait for a list during a part of their time and are then refused.
 """
 
 from __future__ import annotations
@@ -13,87 +15,112 @@
 
 from granitepoint.membership.evidence import Failure
 
-TOLD_AFTER = 6.0  # s after discovery had a change, and could be reached, from which it counts as told
-HOLD_TOLD = 2.0  # s after the end of its hold from which what a silent watch misses counts as told
-CONTINUES = 0.2  # s after an answer within which the next call goes on with the same watch
-MOVE_TOLD = 4.0  # s after a move from which all that the new address has counts as told
-SPARE = 0.1  # s of the grace of a drain that may pass between this decision and the first byte
+# s after which a proxy counts as notified of a change, from when discovery had it and could be reached.
+NOTIFIED_AFTER = 6.0
+NOTIFIED_AFTER_HOLD = 2.0  # s; the same for changes that a silent watch missed, from the end of its hold
+MAX_WATCH_GAP = 0.2  # s between an answer and the next call that continues the same watch
+NOTIFIED_AFTER_MOVE = 4.0  # s; the same for all that the new address has, from the move
+GRACE_MARGIN = 0.1  # s of a drain's grace period that may pass between the decision and the first byte
 
 
 class ListLease:
-    """Which evidence is proof, and until when. Times are in seconds, on the clock of the events."""
+    """Decides what counts as proof, and until when. Times are in seconds, on the clock of the events."""
 
-    def __init__(self, told_after: float, confirmed: bool = False) -> None:
-        """`told_after`: s after which an untold change counts as told; 0 where lists are pushed, infinite
-        where there is no such time. `confirmed`: changes are told without a call for them."""
-        self.told_after = told_after
+    def __init__(self, notified_after: float, confirmed: bool = False) -> None:
+        """`notified_after`: the time after a change until the proxy counts as notified of it; 0 if lists are
+        pushed, infinite if there is no such time. `confirmed`: changes are told without a call for them."""
+        self.notified_after = notified_after
         self.confirmed = confirmed
-        self.proven_until = -math.inf  # no change before it went untold; a new process knows of none
+        # Every change up to this time has been received. A new process knows of no such time.
+        self.verified_until = -math.inf
         self.answered_at = -math.inf
-        self.watch_until = -math.inf  # what a watch that is out would have missed counts from then
-        self.moved_told_at = -math.inf  # when what the latest address has counts as told
-        # Until the first list of a new address: until when the list of the old one may be used.
-        self.bridged_until: float | None = None
+        # While a watch is open: until then the proxy does not count as notified of changes that it missed.
+        self.watch_valid_until = -math.inf
+        # When the proxy counts as notified of everything that the latest address has.
+        self.move_notified_at = -math.inf
+        # Until the first list from a new address: until when the list from the old one may be used.
+        self.old_list_until: float | None = None
 
     @property
     def expires_at(self) -> float:
-        """When the lease ends, if nothing more comes; infinite where it never does."""
-        if math.isinf(self.told_after) or self.confirmed:
+        """When the lease ends, if no further proof comes; infinite if it never does."""
+        if math.isinf(self.notified_after) or self.confirmed:
             return math.inf
-        return self._untold_until + SPARE
+        return self._not_notified_until + GRACE_MARGIN
 
     @property
-    def _untold_until(self) -> float:
-        """Up to when no change that this instance missed can count as told."""
-        if self.bridged_until is not None:
-            return self.bridged_until
-        untold_until = self.proven_until + self.told_after
-        if self.proven_until < self.moved_told_at:
-            untold_until = min(untold_until, self.moved_told_at)
-        return max(untold_until, self.watch_until)
+    def _not_notified_until(self) -> float:
+        """Until when this proxy cannot count as notified of any change that it missed."""
+        if self.old_list_until is not None:
+            return self.old_list_until
+        not_notified_until = self.verified_until + self.notified_after
+        if self.verified_until < self.move_notified_at:
+            not_notified_until = min(not_notified_until, self.move_notified_at)
+        return max(not_notified_until, self.watch_valid_until)
 
     def valid(self, now: float) -> bool:
+        """Whether requests may be sent by the list."""
         return now <= self.expires_at
 
-    def listed(self, written_after: float, answered_at: float, ends_watch: bool = True) -> None:
-        """A list came that was written no sooner than `written_after`. `ends_watch`: on the newest call."""
-        self.proven_until = max(self.proven_until, written_after)
+    def on_list(self, written_after: float, answered_at: float, ends_watch: bool = True) -> None:
+        """A list arrived that was written at `written_after` or later.
+
+        `ends_watch`: it answers the newest call.
+        """
+        self.verified_until = max(self.verified_until, written_after)
         self.answered_at = answered_at
         if ends_watch:
-            self.watch_until = -math.inf
-        self.bridged_until = None
-
-    def watching(self, begun: float, hold: float) -> None:
-        """A call is out that discovery holds for up to `hold` s. It counts where it goes on with a watch:
-        what it misses if it is silent counts as told after its hold."""
-        if begun - self.answered_at <= CONTINUES:
-            self.watch_until = begun + max(TOLD_AFTER, hold + HOLD_TOLD)
-
-    def failed(self, failure: Failure, begun: float, ended: float, beside: bool = False) -> None:
-        """The newest call failed, `ended` being when that was seen. `beside`: an older one is still out."""
-        # An answer is no proof of absence, whatever it says and however soon it comes: see Failure.
+            self.watch_valid_until = -math.inf
+        self.old_list_until = None
+
+    def on_watch_opened(self, started_at: float, hold: float) -> None:
+        """A call was made that discovery holds for up to `hold` seconds.
+
+        It extends the lease only if it continues a watch: if it stays silent, the proxy counts as notified of
+        the changes that it missed some time after the end of the hold.
+        """
+        if started_at - self.answered_at <= MAX_WATCH_GAP:
+            self.watch_valid_until = started_at + max(NOTIFIED_AFTER, hold + NOTIFIED_AFTER_HOLD)
+
+    def on_failure(
+        self, failure: Failure, started_at: float, ended_at: float, older_call_open: bool = False
+    ) -> None:
+        """The newest call failed, which was noticed at `ended_at`.
+
+        `older_call_open`: an earlier call is still open.
+        """
+        # An error answer does not prove that discovery is unreachable, whatever it says and however soon it
+        # comes: see Failure.
         if failure is Failure.REFUSED:
-            self._prove(begun)
+            self._extend_verified(started_at)
         elif failure is Failure.WATCH_LOST:
-            self._prove(ended)
-        if beside:
-            self.watch_until = min(self.watch_until, begun + TOLD_AFTER)
+            self._extend_verified(ended_at)
+        if older_call_open:
+            self.watch_valid_until = min(self.watch_valid_until, started_at + NOTIFIED_AFTER)
         else:
-            self.watch_until = -math.inf
-
-    def _prove(self, moment: float) -> None:
-        """What counts as told by then stays told: only a list can bring a lease back that has ended. So a new
-        process has none before its first list, whatever it learns of discovery."""
-        if moment <= self._untold_until:
-            self.proven_until = max(self.proven_until, moment)
-
-    def silent(self, now: float) -> None:
-        """The watch that is out has said nothing for so long that another call is made beside it."""
-        self.watch_until = min(self.watch_until, now + TOLD_AFTER)
-
-    def move(self, now: float) -> None:
-        """Discovery has another address from `now` on. What the new one has counts as told MOVE_TOLD later,
-        asked or not, and a list of it alone is proof. Moves in a row give no more time."""
-        self.moved_told_at = now + MOVE_TOLD
-        self.bridged_until = min(self._untold_until, self.moved_told_at)
-        self.watch_until = self.answered_at = -math.inf
+            self.watch_valid_until = -math.inf
+
+    def _extend_verified(self, moment: float) -> None:
+        """Moves `verified_until` forward, unless the lease has ended by then.
+
+        A change of which the proxy counts as notified by then stays one that it may have missed, so only a
+        list renews a lease that has ended. Hence a new process has no lease before its first list, whatever
+        it finds out about discovery.
+        """
+        if moment <= self._not_notified_until:
+            self.verified_until = max(self.verified_until, moment)
+
+    def on_silence(self, now: float) -> None:
+        """The open watch has been silent for so long that another call is made in parallel."""
+        self.watch_valid_until = min(self.watch_valid_until, now + NOTIFIED_AFTER)
+
+    def on_move(self, now: float) -> None:
+        """Discovery has a new address from `now` on.
+
+        The proxy counts as notified of everything that the new address has NOTIFIED_AFTER_MOVE later, whether
+        it has asked or not, and only a list from that address is proof. Repeated moves do not extend the
+        time.
+        """
+        self.move_notified_at = now + NOTIFIED_AFTER_MOVE
+        self.old_list_until = min(self._not_notified_until, self.move_notified_at)
+        self.watch_valid_until = self.answered_at = -math.inf
--- a/granitepoint/membership/start_times.py
+++ b/granitepoint/membership/start_times.py
@@ -1,11 +1,15 @@
-"""When servers were started, on this instance's own clock, from what lists say of it on another.
-
-Lists give the wall time of a start. The wall clock of this machine may have been stepped before the process
-began, so it tells nothing of how long ago that was: a server that has just started would pass for one that
-is warm. But a server is listed after its start. So the other clock is at least as far on as the newest
-start that a list names, and each start lies at that distance from it. What is found is never earlier than
-the truth, and late by no more than the quickest list was. It relies on one clock for all servers. Where one
-is ahead, the others seem old; of what a later list tells for the first time that is not believed.
+"""Converts the start times of servers, as lists give them, to this instance's own clock.
+
+Lists give the wall-clock time of a start. The wall clock of this machine may have been stepped before the
+process started, so it does not tell how long ago that was: a server that has just started would be treated as
+warm.
+
+But a server is listed only after its start. So the clock of the lists is at least as far ahead as the newest
+start in a list, and every other start is placed relative to that one. The result is never earlier than the
+true start, and later by no more than the delay of the fastest list.
+
+This assumes one clock for all servers. If the clock of one server is ahead, the others seem older than they
+are; for servers and starts that a later list names for the first time this is limited to MAX_NEW_START_AGE.
 """
 
 from __future__ import annotations
@@ -14,50 +18,61 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-OLDEST_NEWS = 60.0  # s ago that a server may have been started of which a list tells for the first time
-NEXT = 1e-3  # s by which a start is later than the one before it
+MAX_NEW_START_AGE = 60.0  # s; a start that a later list names for the first time cannot be longer ago
+MIN_START_GAP = 1e-3  # s between two starts of the same server
 
 
 @dataclass(slots=True)
-class Start:
-    """The last start of a server: as lists name it, and on this instance's clock."""
+class ServerStart:
+    """The last start of a server: the time that lists give, and the time on this instance's clock."""
 
-    named: float
-    at: float
+    listed_time: float
+    local_time: float
 
 
 class StartTimes:
     """The starts that lists have named. Times are in seconds."""
 
     def __init__(self) -> None:
-        self.ahead = -math.inf  # of this instance's clock, by which the one of the lists is at least
-        self.starts: dict[str, Start] = {}
-
-    def listed(self, named: Mapping[str, float], now: float) -> dict[str, float]:
-        """The start of each server on this instance's clock, from those that a list names on its own; 0 stays
-        0, a start of long ago."""
-        first = math.isinf(self.ahead)
-        news = {
+        self.min_clock_offset = (
+            -math.inf
+        )  # the clock of the lists is at least this far ahead of the local one
+        self.starts: dict[str, ServerStart] = {}
+
+    def to_local_times(self, listed_times: Mapping[str, float], now: float) -> dict[str, float]:
+        """The start of each server on this instance's clock, from the times in a list.
+
+        0 stays 0: a start long ago.
+        """
+        first_list = math.isinf(self.min_clock_offset)
+        new_starts = {
             server: start
-            for server, start in named.items()
-            if start > 0 and (server not in self.starts or self.starts[server].named != start)
+            for server, start in listed_times.items()
+            if start > 0 and (server not in self.starts or self.starts[server].listed_time != start)
+        }
+        self.min_clock_offset = max([self.min_clock_offset, *(start - now for start in new_starts.values())])
+        for server, start in new_starts.items():
+            self.starts[server] = ServerStart(start, self._local_time(server, start, now, first_list))
+        return {
+            server: self.starts[server].local_time if start > 0 else 0.0
+            for server, start in listed_times.items()
         }
-        self.ahead = max([self.ahead, *(start - now for start in news.values())])
-        for server, start in news.items():
-            self.starts[server] = Start(start, self._at(server, start, now, first))
-        return {server: self.starts[server].at if start > 0 else 0.0 for server, start in named.items()}
-
-    def _at(self, server: str, named: float, now: float, first: bool) -> float:
-        at = min(now, named - self.ahead)
-        if not first and now - at > OLDEST_NEWS:
-            at = now
-        before = self.starts.get(server)
-        return max(at, before.at + NEXT) if before is not None else max(at, NEXT)
-
-    def forget(self, server: str) -> None:
-        """The server is gone."""
+
+    def _local_time(self, server: str, listed_time: float, now: float, first_list: bool) -> float:
+        local_time = min(now, listed_time - self.min_clock_offset)
+        if not first_list and now - local_time > MAX_NEW_START_AGE:
+            local_time = now
+        previous = self.starts.get(server)
+        return (
+            max(local_time, previous.local_time + MIN_START_GAP)
+            if previous is not None
+            else max(local_time, MIN_START_GAP)
+        )
+
+    def remove(self, server: str) -> None:
+        """Forgets a server that is gone."""
         self.starts.pop(server, None)
 
-    def keep(self, servers: Collection[str]) -> None:
-        """There are no others."""
+    def keep_only(self, servers: Collection[str]) -> None:
+        """Forgets all servers but these."""
         self.starts = {server: start for server, start in self.starts.items() if server in servers}
--- a/granitepoint/membership/version_history.py
+++ b/granitepoint/membership/version_history.py
@@ -1,10 +1,10 @@
-"""Whether a new address of discovery goes on with the versions of the one before.
+"""Checks whether a new address of discovery continues the version history of the previous one.
 
-Discovery is one service, so a proxy that is sent to another address asks there for what has changed since
-the list that it holds: a fraction of the work of a whole list, which all proxies would ask for at once. A
-service with a history of its own would leave the old list in place. So the last change is asked for once
-more, and has to come back; where no change was ever told nothing can be compared, and the whole list comes
-later.
+Discovery is one service. So after a change of its address a proxy asks only for the changes since the list
+that it has. This costs discovery a fraction of a whole list, which all proxies would request at the same
+time. But a service with a history of its own would leave the old list in place. So the proxy requests the
+last change once more, and the answer has to contain it. If no change has been told yet there is nothing to
+compare, and the proxy requests the whole list later.
 """
 
 from __future__ import annotations
@@ -12,44 +12,50 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-MOST_REPEATED = 64  # entries of a change that is asked for once more
+MAX_REPEATED_ENTRIES = 64  # servers in a change that is requested once more
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """The last change that was told: the version before it, and the servers that it named."""
+    """The last change that discovery told: the version before it, and the ids of the servers in it."""
 
-    before: int
+    base_version: int
     servers: frozenset[int]
 
 
 class VersionHistory:
-    """The version that is held, and what is known of how it came about."""
+    """The version of the current list, and the last change that led to it."""
 
     def __init__(self, version: int) -> None:
         self.version = version
-        self.change: Change | None = None
+        self.last_change: Change | None = None
 
     @property
-    def ask_from(self) -> int:
-        """The version from which another address is asked for changes."""
-        return self.version if self.change is None else self.change.before
+    def request_from(self) -> int:
+        """The version since which a new address is asked for changes."""
+        return self.version if self.last_change is None else self.last_change.base_version
 
     @property
     def comparable(self) -> bool:
-        """Whether an answer of another address can show that its history is this one."""
-        return self.change is not None
-
-    def told(self, asked_from: int | None, version: int, servers: Collection[int]) -> None:
-        """A list was taken. `asked_from`: None where it is whole, so that it tells nothing of changes."""
-        if asked_from is None:
-            self.change = None
-        elif version > asked_from and servers:
-            self.change = Change(asked_from, frozenset(servers)) if len(servers) <= MOST_REPEATED else None
+        """Whether the answer of a new address can show that it has the same history."""
+        return self.last_change is not None
+
+    def record(self, since_version: int | None, version: int, servers: Collection[int]) -> None:
+        """A list was accepted.
+
+        `since_version`: the version since which changes were requested; None for a whole list, which says
+        nothing about changes. `servers`: the ids of the servers in the list.
+        """
+        if since_version is None:
+            self.last_change = None
+        elif version > since_version and servers:
+            self.last_change = (
+                Change(since_version, frozenset(servers)) if len(servers) <= MAX_REPEATED_ENTRIES else None
+            )
         self.version = version
 
-    def goes_on_with(self, version: int, servers: Collection[int]) -> bool:
-        """Whether the changes that another address tells since `ask_from` can belong to this history."""
+    def is_continued_by(self, version: int, servers: Collection[int]) -> bool:
+        """Whether the changes that a new address told since `request_from` can belong to this history."""
         if version < self.version:
             return False
-        return self.change is None or self.change.servers <= set(servers)
+        return self.last_change is None or self.last_change.servers <= set(servers)
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -12,9 +12,9 @@
 
 from granitepoint.interface import DiscoveryFailed, WatchLost, WatchOpened
 from granitepoint.membership.backoff import Backoff
-from granitepoint.membership.evidence import AT_ONCE, Failure
-from granitepoint.membership.list_lease import CONTINUES, HOLD_TOLD, MOVE_TOLD
-from granitepoint.membership.list_lease import TOLD_AFTER as SILENT_TOLD
+from granitepoint.membership.evidence import IMMEDIATE_FAILURE_TIME, Failure
+from granitepoint.membership.list_lease import MAX_WATCH_GAP, NOTIFIED_AFTER_HOLD, NOTIFIED_AFTER_MOVE
+from granitepoint.membership.list_lease import NOTIFIED_AFTER as SILENT_TOLD
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.membership.version_history import VersionHistory
 from granitepoint.net.config import Address
@@ -80,7 +80,7 @@
         self.on_list, self.on_failed = on_list, on_failed
         self.on_evidence = on_evidence  # told of all that bears on how long the list may be used
         # Of the calls that are made again from here, on a watch or at a new address.
-        self.backoff = Backoff(random, instances=instances, place=random.random())
+        self.backoff = Backoff(random, instances=instances, phase=random.random())
         self.failure = Failure.SILENT  # how the last call that failed did so
         self.answered_at = -math.inf  # monotonic, of the last answer with a list
         self.answered_free = False  # it had not waited in turn
@@ -112,7 +112,7 @@
         is asked at once for what has changed: all proxies move together, and whole lists for all of them
         would take longer than the time in which changes count as told."""
         self.stop()
-        self._lose(MOVE_TOLD, moved=True)
+        self._lose(NOTIFIED_AFTER_MOVE, moved=True)
         self.at, self.moving, self.version = at, True, self.history.version
         self.answered_at = -math.inf  # the answer was the other address's
         self.watch(True)
@@ -150,7 +150,7 @@
                 begun, first = loop.time(), self.moving
                 hold = (HOLD_MS if self.confirmed else CONFIRM_HOLD_MS) / 1000
                 silent_after = MOVE_AGAIN if first else RENEW if self.confirmed else CONFIRM_WAIT
-                continued = time.monotonic() - self.answered_at <= CONTINUES
+                continued = time.monotonic() - self.answered_at <= MAX_WATCH_GAP
                 ask = Ask(time.monotonic(), hold, continued, self.answered_free, self._since())
                 self.newest = ask
                 if not first:
@@ -162,7 +162,7 @@
                     asks.pop(older).close()
                 tries = tries + 1 if self.moving else 0
                 if not newest.done():
-                    self._lose(begun + max(SILENT_TOLD, hold + HOLD_TOLD) - loop.time(), silent=True)
+                    self._lose(begun + max(SILENT_TOLD, hold + NOTIFIED_AFTER_HOLD) - loop.time(), silent=True)
                     channel = Channel()
                     continue
                 del asks[newest]
@@ -186,7 +186,7 @@
 
     def _since(self) -> int | None:
         """The version from which changes are asked for."""
-        return self.history.ask_from if self.moving and self.version is not None else self.version
+        return self.history.request_from if self.moving and self.version is not None else self.version
 
     def _sooner(self, most: float, share: float) -> float:
         return most * (1 - share * self.random.random())
@@ -250,7 +250,7 @@
     def _goes_on(self, listing: Listing) -> bool:
         """Whether this first list of a new address can be used with the one that is held."""
         servers = [listed.entry.server for listed in listing.backends]
-        if listing.whole or self.history.goes_on_with(listing.version, servers):
+        if listing.whole or self.history.is_continued_by(listing.version, servers):
             return True
         log.warning(
             "discovery_differs", discovery="{}:{}".format(*self.at), version=listing.version,
@@ -274,10 +274,10 @@
             if not listing.whole and not self.history.comparable:
                 self._verification = asyncio.get_running_loop().create_task(self._verifying())
         servers = [listed.entry.server for listed in listing.backends]
-        self.history.told(None if listing.whole else ask.since, listing.version, servers)
+        self.history.record(None if listing.whole else ask.since, listing.version, servers)
         if ask.watch:
             self.answered_at = now
-            self.answered_free = listing.turn is not None and listing.turn <= AT_ONCE
+            self.answered_free = listing.turn is not None and listing.turn <= IMMEDIATE_FAILURE_TIME
             self.confirmed = True
 
 
--- a/granitepoint/net/discovery_channel.py
+++ b/granitepoint/net/discovery_channel.py
@@ -95,7 +95,7 @@
     if isinstance(fault, TimeoutError):
         return Failure.SILENT
     if not asked and not isinstance(fault, ConnectionError):
-        return Failure.OWN_FAULT  # no socket, no port, no route: of this machine, and for a moment
+        return Failure.LOCAL_ERROR  # no socket, no port, no route: of this machine, and for a moment
     if isinstance(fault, OSError) and not isinstance(fault, ConnectionError):
         return Failure.SILENT  # a connection that broke for want of a word from the other side
     return classify(waited, continued, free)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -17,7 +17,7 @@
 
 from granitepoint import interface as api
 from granitepoint.logic import Balancer
-from granitepoint.membership.list_lease import TOLD_AFTER
+from granitepoint.membership.list_lease import NOTIFIED_AFTER
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.net.config import Config, ConfigError
 from granitepoint.net.discovery import Discovery
@@ -88,7 +88,7 @@
     def __init__(self, config: Config) -> None:
         self.loop = asyncio.get_running_loop()
         pushed = not config.settings.ask_for_list
-        told_after = 0.0 if pushed else min(TOLD_AFTER, config.settings.must_ask_within)
+        told_after = 0.0 if pushed else min(NOTIFIED_AFTER, config.settings.must_ask_within)
         self.settings = replace(config.settings, notified_after=told_after)
         self.config = config
         self.effects = {cls.name: cls.effect for cls in self.settings.classes}
@@ -221,7 +221,7 @@
             log.info(
                 "list_usable" if may_send else "list_unusable",
                 version=self.discovery.version, last_failure=self.discovery.failure.value,
-                proven_s=now - self.balancer.list_lease.proven_until, held=len(self.balancer.queue),
+                proven_s=now - self.balancer.list_lease.verified_until, held=len(self.balancer.queue),
             )  # fmt: skip
 
     def _recover(self, events: list[api.Event]) -> None:
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -59,13 +59,13 @@
 
 def _tell_starts(listing: Listing, named: Sequence[tuple[str, float]], starts: StartTimes) -> None:
     """When each server was started, on this process's clock."""
-    started = starts.listed(dict(named), time.monotonic())
+    started = starts.to_local_times(dict(named), time.monotonic())
     for (name, _), listed in zip(named, listing.backends, strict=True):
         listed.entry.started_at = started[name]
         if listed.entry.state is ServerState.GONE:
-            starts.forget(name)
+            starts.remove(name)
     if listing.whole:
-        starts.keep(set(started))
+        starts.keep_only(set(started))
 
 
 def _listed(item: Mapping[str, Any]) -> Listed:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -11,18 +11,18 @@
 
 from granitepoint import ListKind, ServerList, Watch
 from granitepoint.membership.backoff import (
-    AWAY,
-    CROWDED,
-    LONGEST_PAUSE,
-    LONGEST_ROUND,
-    PAUSES,
-    SHORTEST_ROUND,
-    STEADY_ROUNDS,
-    TURNED_AWAY,
+    CONSTANT_ROUNDS,
+    DEFAULT_MAX_ROUND_LENGTH,
+    MAX_PAUSE,
+    MIN_ROUND_LENGTH,
+    OVERLOADED,
+    PAUSE_POLICIES,
+    REJECTED,
+    UNREACHABLE,
     Backoff,
 )
 from granitepoint.membership.evidence import Failure
-from granitepoint.membership.list_lease import TOLD_AFTER
+from granitepoint.membership.list_lease import NOTIFIED_AFTER
 
 
 class Most(Random):
@@ -53,13 +53,14 @@
 def test_the_pause_after_calls_that_waited_grows_up_to_the_longest_where_no_turn_is_known() -> None:
     """Congestion collapse: calls may come faster than they can be answered by a service of any speed."""
     found = pauses(Failure.WAITED, 2000)
-    assert found[1 : STEADY_ROUNDS + 1] == pytest.approx([SHORTEST_ROUND] * STEADY_ROUNDS)
-    assert found[STEADY_ROUNDS + 2] > SHORTEST_ROUND and found[-1] == pytest.approx(LONGEST_PAUSE)
+    assert found[1 : CONSTANT_ROUNDS + 1] == pytest.approx([MIN_ROUND_LENGTH] * CONSTANT_ROUNDS)
+    assert found[CONSTANT_ROUNDS + 2] > MIN_ROUND_LENGTH and found[-1] == pytest.approx(MAX_PAUSE)
     assert pauses(Failure.SILENT, 2) == pauses(Failure.WAITED, 2)
 
 
 @pytest.mark.parametrize(
-    ("instances", "turn", "most"), [(200, 0.001, LONGEST_ROUND), (200, 0.04, 16.0), (20, 0.3, 12.0)]
+    ("instances", "turn", "most"),
+    [(200, 0.001, DEFAULT_MAX_ROUND_LENGTH), (200, 0.04, 16.0), (20, 0.3, 12.0)],
 )
 def test_after_an_outage_that_lasted_long_the_next_call_is_no_further_than_discovery_needs(
     instances: int, turn: float, most: float
@@ -70,9 +71,9 @@
     backoff.succeeded(turn)
     at = begins(backoff, 40)
     spacings = [later - now for now, later in pairwise(at)]
-    assert max(spacings) == pytest.approx(most) and max(spacings[:STEADY_ROUNDS]) < SHORTEST_ROUND + 2.0
+    assert max(spacings) == pytest.approx(most) and max(spacings[:CONSTANT_ROUNDS]) < MIN_ROUND_LENGTH + 2.0
     backoff.succeeded(None)  # an answer that tells nothing of its turn takes none of it back
-    assert backoff.longest_round == pytest.approx(most)
+    assert backoff.max_round_length == pytest.approx(most)
 
 
 @pytest.mark.parametrize("instances", [20, 60, 200, 880])
@@ -81,28 +82,28 @@
     at: list[float] = []
     for number in range(instances):
         place = number * 0.6180339887498949 % 1.0
-        at += begins(Backoff(Random(number), instances=instances, place=place), STEADY_ROUNDS)[1:]
+        at += begins(Backoff(Random(number), instances=instances, phase=place), CONSTANT_ROUNDS)[1:]
     counts = Counter(int(moment / 0.5) for moment in at if 3.0 <= moment < 9.0)
-    fair = instances * 0.5 / SHORTEST_ROUND
+    fair = instances * 0.5 / MIN_ROUND_LENGTH
     assert all(0.5 * fair - 1 <= counts[half] <= 1.8 * fair + 2 for half in range(6, 18)), counts
 
 
 def test_the_first_calls_after_a_failure_begin_no_further_apart_than_the_shortest_round() -> None:
     """But for the first, which may have been made right before the instance's place in the round."""
     for seed in range(50):
-        at = begins(Backoff(Random(seed)), STEADY_ROUNDS)
-        assert at[1] <= SHORTEST_ROUND + 2.0
-        assert [later - now for now, later in pairwise(at[1:])] == pytest.approx([SHORTEST_ROUND])
+        at = begins(Backoff(Random(seed)), CONSTANT_ROUNDS)
+        assert at[1] <= MIN_ROUND_LENGTH + 2.0
+        assert [later - now for now, later in pairwise(at[1:])] == pytest.approx([MIN_ROUND_LENGTH])
 
 
 def test_the_pause_after_a_refused_connection_stays_short_however_many_there_were() -> None:
-    assert pauses(Failure.REFUSED, 2000)[-1] == AWAY.longest == 1.0
+    assert pauses(Failure.REFUSED, 2000)[-1] == UNREACHABLE.maximum == 1.0
 
 
 def test_no_pause_that_follows_a_proof_is_as_long_as_a_list_may_be_used_after_it() -> None:
     """A pause of up to 10 s after a refused call outlasted the 6 s by which each change counts as told."""
-    for failure in (Failure.REFUSED, Failure.AT_ONCE, Failure.WATCH_LOST, Failure.WATCH_CUT):
-        assert max(pauses(failure, 100)) <= TOLD_AFTER - 2.0  # s that the next call may wait in turn
+    for failure in (Failure.REFUSED, Failure.IMMEDIATE, Failure.WATCH_LOST, Failure.WATCH_CUT):
+        assert max(pauses(failure, 100)) <= NOTIFIED_AFTER - 2.0  # s that the next call may wait in turn
 
 
 def test_a_call_that_succeeds_starts_anew() -> None:
@@ -110,19 +111,19 @@
     for _ in range(4):
         backoff.failed(Failure.WAITED, 0.0)
     backoff.succeeded()
-    assert backoff.failed(Failure.WAITED, 7.0) <= CROWDED.first
-    assert backoff.failed(Failure.WAITED, 12.0) <= CROWDED.first
+    assert backoff.failed(Failure.WAITED, 7.0) <= OVERLOADED.first
+    assert backoff.failed(Failure.WAITED, 12.0) <= OVERLOADED.first
 
 
 @pytest.mark.parametrize("failure", list(Failure))
 def test_pauses_differ_from_one_instance_to_the_next(failure: Failure) -> None:
-    kind = PAUSES[failure]
+    kind = PAUSE_POLICIES[failure]
     first = [Backoff(Random(seed)).failed(failure, 0.0) for seed in range(50)]
-    assert all(kind.first * kind.least_share <= pause <= kind.first for pause in first)
-    assert max(first) - min(first) > 0.8 * (1 - kind.least_share) * kind.first
+    assert all(kind.first * kind.min_fraction <= pause <= kind.first for pause in first)
+    assert max(first) - min(first) > 0.8 * (1 - kind.min_fraction) * kind.first
 
 
-@pytest.mark.parametrize("must_ask_within, most", [(10.0, 40.0), (3.0, 12.0), (60.0, LONGEST_PAUSE)])
+@pytest.mark.parametrize("must_ask_within, most", [(10.0, 40.0), (3.0, 12.0), (60.0, MAX_PAUSE)])
 def test_an_instance_asks_again_later_after_each_failure_but_within_its_bound(
     must_ask_within: float, most: float
 ) -> None:
@@ -136,7 +137,7 @@
         while not any(isinstance(action, Watch) for action in made.wait(0.05)):
             pass
         waits.append(made.now - failed_at)
-    assert waits[0] <= CROWDED.first + 0.1
+    assert waits[0] <= OVERLOADED.first + 0.1
     assert max(waits) <= most + 0.1
     assert max(waits[15:]) >= most * 0.6
 
@@ -150,4 +151,4 @@
     failed_at = made.now
     while not any(isinstance(action, Watch) for action in made.wait(0.05)):
         pass
-    assert made.now - failed_at <= TURNED_AWAY.first + 0.1
+    assert made.now - failed_at <= REJECTED.first + 0.1
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -42,7 +42,7 @@
     PACE_MEMORY,
     RETRY_UNSEEN,
 )
-from granitepoint.membership.backoff import CROWDED, LONGEST_PAUSE
+from granitepoint.membership.backoff import MAX_PAUSE, OVERLOADED
 from granitepoint.membership.evidence import Failure
 
 
@@ -336,9 +336,9 @@
     assert driver.said.count(Watch(True)) == 1
     driver.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
     before = driver.said.count(Watch(True))
-    driver.wait(CROWDED.first * CROWDED.least_share - 0.05)
+    driver.wait(OVERLOADED.first * OVERLOADED.min_fraction - 0.05)
     assert driver.said.count(Watch(True)) == before
-    driver.wait(CROWDED.first)
+    driver.wait(OVERLOADED.first)
     assert driver.said.count(Watch(True)) == before + 1
     assert Watch(True) not in Driver(settings()).wait(12.0)
 
@@ -349,7 +349,7 @@
     driver.wait(2.1)
     for _ in range(12):
         driver.feed(ServerList(ListKind.FAILED))
-        assert driver.wait(LONGEST_PAUSE + 0.1).count(Watch(True)) == 1
+        assert driver.wait(MAX_PAUSE + 0.1).count(Watch(True)) == 1
 
 
 @pytest.mark.parametrize("way", ["drained", "window over", "ejected for longer"])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -24,10 +24,10 @@
 
 from granitepoint.interface import WatchLost
 from granitepoint.membership import backoff
-from granitepoint.membership.evidence import LONGEST_TURN, Failure
-from granitepoint.membership.health_checks import LEASE
-from granitepoint.membership.list_lease import HOLD_TOLD
-from granitepoint.membership.list_lease import TOLD_AFTER as SILENT_TOLD
+from granitepoint.membership.evidence import MAX_QUEUE_TIME, Failure
+from granitepoint.membership.health_checks import LEASE_DURATION
+from granitepoint.membership.list_lease import NOTIFIED_AFTER as SILENT_TOLD
+from granitepoint.membership.list_lease import NOTIFIED_AFTER_HOLD
 from granitepoint.net import discovery as net
 from granitepoint.net.discovery_channel import Channel
 from granitepoint.net.listing import Listing
@@ -104,7 +104,7 @@
     in_turn = 2.0  # s that a call may wait, and then fail
     told = net.HOLD_MS / 1000 + 2.0
     assert told - net.RENEW >= in_turn + in_turn + in_turn  # the pause is no longer than the wait before it
-    assert told - net.RENEW >= LEASE  # after the first that fails, leases hold
+    assert told - net.RENEW >= LEASE_DURATION  # after the first that fails, leases hold
     assert net.HOLD_MS <= 60_000
 
 
@@ -112,8 +112,8 @@
     """What a silent one misses counts as told 6 s after it fell silent: its hold is short."""
     in_turn, hold = 2.0, net.CONFIRM_HOLD_MS / 1000
     assert in_turn + hold < net.CONFIRM_WAIT * (1 - net.EARLIER)
-    assert net.CONFIRM_WAIT + in_turn + hold < SILENT_TOLD == max(SILENT_TOLD, hold + HOLD_TOLD)
-    assert in_turn + hold < net.HOLD_MS / 1000 + HOLD_TOLD - net.RENEW
+    assert net.CONFIRM_WAIT + in_turn + hold < SILENT_TOLD == max(SILENT_TOLD, hold + NOTIFIED_AFTER_HOLD)
+    assert in_turn + hold < net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD - net.RENEW
 
 
 @pytest.mark.parametrize("confirmed", [False, True])
@@ -139,7 +139,7 @@
                 client.watch(True)
                 await peer.next("/v1/servers?from=1&")
                 await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
-            told = net.HOLD_MS / 1000 + HOLD_TOLD if confirmed else SILENT_TOLD
+            told = net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD if confirmed else SILENT_TOLD
             lost = [each for each in evidence if isinstance(each, WatchLost)]
             assert told - 1.0 < lost[0].notified_within < told and not client.confirmed
             assert lost[0].silent and not lost[0].moved
@@ -170,7 +170,7 @@
 
 def test_a_first_list_is_not_asked_for_twice_while_the_call_waits_its_turn() -> None:
     """All proxies move at once, and twice the calls take twice as long."""
-    assert net.MOVE_AGAIN * (1 - net.EARLIER) > LONGEST_TURN * 0.9 > 2.0
+    assert net.MOVE_AGAIN * (1 - net.EARLIER) > MAX_QUEUE_TIME * 0.9 > 2.0
 
 
 def test_a_silent_watch_is_asked_anew_beside_the_open_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -214,7 +214,7 @@
 ) -> None:
     """The module's pause after a failure would be longer than what is left."""
     silent_after(monkeypatch, 0.05)
-    monkeypatch.setitem(backoff.PAUSES, Failure.AT_ONCE, backoff.Pause(0.01, 1.0, 0.01, 1.0))
+    monkeypatch.setitem(backoff.PAUSE_POLICIES, Failure.IMMEDIATE, backoff.PausePolicy(0.01, 1.0, 0.01, 1.0))
 
     async def test() -> None:
         peer = OnCommand()
@@ -378,7 +378,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The watch that was to go on by itself has ended, and a move has put another in its place."""
-    monkeypatch.setattr(net, "Backoff", lambda random, **rest: backoff.Backoff(random, longest=0.001))
+    monkeypatch.setattr(net, "Backoff", lambda random, **rest: backoff.Backoff(random, max_pause=0.001))
 
     async def test() -> None:
         peer = OnCommand()
@@ -494,7 +494,7 @@
         for one in many:
             one.stop()
         assert many[0].pauses == pytest.approx(many[-1].pauses, abs=0.05)  # one seed, one course
-        longest = 0.15 if way == "pushed" else backoff.LONGEST_PAUSE
+        longest = 0.15 if way == "pushed" else backoff.MAX_PAUSE
         assert all(0 < pause <= longest for one in many for pause in one.pauses)
         at = sorted(sum(one.pauses[:8]) for one in many[:40])
         spacing = sum(many[0].pauses[:8]) / 8
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -16,13 +16,13 @@
 from hypothesis import strategies as st
 
 from granitepoint import DiscoveryFailed, ListKind, Refuse, ServerList, Watch, WatchLost, WatchOpened
-from granitepoint.membership.evidence import LONGEST_TURN, SHORTEST_TURN, Failure, classify
+from granitepoint.membership.evidence import MAX_QUEUE_TIME, MIN_QUEUE_TIME, Failure, classify
 from granitepoint.membership.list_lease import (
-    CONTINUES,
-    HOLD_TOLD,
-    MOVE_TOLD,
-    SPARE,
-    TOLD_AFTER,
+    GRACE_MARGIN,
+    MAX_WATCH_GAP,
+    NOTIFIED_AFTER,
+    NOTIFIED_AFTER_HOLD,
+    NOTIFIED_AFTER_MOVE,
     ListLease,
 )
 from granitepoint.net.discovery_channel import tell_failure
@@ -32,144 +32,144 @@
 
 
 def leased(at: float = 100.0) -> ListLease:
-    lease = ListLease(TOLD_AFTER)
-    lease.listed(at, at)
+    lease = ListLease(NOTIFIED_AFTER)
+    lease.on_list(at, at)
     return lease
 
 
 def test_the_lease_and_a_hold_up_of_the_process_fit_into_the_grace() -> None:
-    assert leased().expires_at + HELD_UP < 100.0 + TOLD_AFTER + GRACE
-    assert ListLease(TOLD_AFTER).expires_at == -math.inf  # a new process knows of no time
+    assert leased().expires_at + HELD_UP < 100.0 + NOTIFIED_AFTER + GRACE
+    assert ListLease(NOTIFIED_AFTER).expires_at == -math.inf  # a new process knows of no time
     assert ListLease(math.inf).expires_at == math.inf
 
 
-@pytest.mark.parametrize("failure", [Failure.WAITED, Failure.SILENT, Failure.OWN_FAULT, Failure.AT_ONCE])
+@pytest.mark.parametrize("failure", [Failure.WAITED, Failure.SILENT, Failure.LOCAL_ERROR, Failure.IMMEDIATE])
 def test_what_is_no_proof_moves_nothing(failure: Failure) -> None:
     lease = leased()
     for begun in (101.0, 103.0, 105.0):
-        lease.failed(failure, begun, begun + 1.0)
-    assert lease.expires_at == 100.0 + TOLD_AFTER + SPARE
+        lease.on_failure(failure, begun, begun + 1.0)
+    assert lease.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
 def test_a_refused_connection_is_proof_as_of_when_the_call_began() -> None:
     """Discovery may have come up between the refusal and the moment at which it was read."""
     lease = leased()
-    lease.failed(Failure.REFUSED, 104.0, 104.9)
-    assert lease.expires_at == 104.0 + TOLD_AFTER + SPARE
+    lease.on_failure(Failure.REFUSED, 104.0, 104.9)
+    assert lease.expires_at == 104.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
 def test_a_call_turned_away_at_once_proves_nothing_even_where_discovery_was_seen_to_go_down() -> None:
     """It may be back, tell others, and turn this one away. A crowded one did so: 48 of 100 proxies
     got a 503 within 0.01 s on their first call."""
     lease = leased()
-    lease.watching(100.0, HOLD)
-    lease.failed(Failure.WATCH_LOST, 100.0, 110.0)
-    lease.failed(Failure.AT_ONCE, 111.0, 111.0)
-    assert lease.expires_at == 110.0 + TOLD_AFTER + SPARE
+    lease.on_watch_opened(100.0, HOLD)
+    lease.on_failure(Failure.WATCH_LOST, 100.0, 110.0)
+    lease.on_failure(Failure.IMMEDIATE, 111.0, 111.0)
+    assert lease.expires_at == 110.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
 def test_a_lease_that_has_ended_comes_back_with_a_list_alone() -> None:
     """What counted as told while calls waited does not become untold when discovery goes away."""
     lease = leased()
-    lease.failed(Failure.WAITED, 101.0, 103.0)
-    lease.failed(Failure.REFUSED, 106.5, 106.5)
-    assert lease.expires_at == 100.0 + TOLD_AFTER + SPARE
-    new = ListLease(TOLD_AFTER)
-    new.failed(Failure.REFUSED, 100.0, 100.0)
+    lease.on_failure(Failure.WAITED, 101.0, 103.0)
+    lease.on_failure(Failure.REFUSED, 106.5, 106.5)
+    assert lease.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
+    new = ListLease(NOTIFIED_AFTER)
+    new.on_failure(Failure.REFUSED, 100.0, 100.0)
     assert not new.valid(100.0)
 
 
 def test_a_watch_counts_only_where_it_goes_on_with_one_that_was_answered() -> None:
     """Another call may wait its turn, and what changes meanwhile is told to nobody."""
     lease = leased()
-    lease.watching(100.0 + CONTINUES + 0.01, HOLD)
-    assert lease.expires_at == 100.0 + TOLD_AFTER + SPARE
-    lease.watching(100.0, HOLD)
-    assert lease.expires_at == 100.0 + HOLD + HOLD_TOLD + SPARE
+    lease.on_watch_opened(100.0 + MAX_WATCH_GAP + 0.01, HOLD)
+    assert lease.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
+    lease.on_watch_opened(100.0, HOLD)
+    assert lease.expires_at == 100.0 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
 
 
 def test_a_watch_that_falls_silent_is_trusted_no_longer_than_what_it_misses_goes_untold() -> None:
     lease = leased()
-    lease.watching(100.0, HOLD)
-    lease.silent(118.0)
-    assert lease.expires_at == 118.0 + TOLD_AFTER + SPARE < 100.0 + HOLD + HOLD_TOLD
-    lease.failed(Failure.WAITED, 118.0, 120.0, beside=True)
+    lease.on_watch_opened(100.0, HOLD)
+    lease.on_silence(118.0)
+    assert lease.expires_at == 118.0 + NOTIFIED_AFTER + GRACE_MARGIN < 100.0 + HOLD + NOTIFIED_AFTER_HOLD
+    lease.on_failure(Failure.WAITED, 118.0, 120.0, older_call_open=True)
     assert lease.valid(119.0) and not lease.valid(124.2)
 
 
 def test_a_watch_cut_soon_after_it_began_proves_nothing_for_its_time() -> None:
     """It may have waited its turn to tell of a change."""
     lease = leased()
-    lease.watching(100.0, HOLD)
-    lease.failed(Failure.WATCH_CUT, 100.0, 101.0)
-    assert lease.expires_at == 100.0 + TOLD_AFTER + SPARE
+    lease.on_watch_opened(100.0, HOLD)
+    lease.on_failure(Failure.WATCH_CUT, 100.0, 101.0)
+    assert lease.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
 def test_a_late_answer_on_an_older_watch_does_not_end_the_newer_one() -> None:
     lease = leased()
-    lease.watching(100.0, HOLD)
-    lease.listed(101.0, 101.0, ends_watch=False)
-    assert lease.expires_at == 100.0 + HOLD + HOLD_TOLD + SPARE
+    lease.on_watch_opened(100.0, HOLD)
+    lease.on_list(101.0, 101.0, ends_watch=False)
+    assert lease.expires_at == 100.0 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
 
 
 def test_after_a_move_a_list_is_used_until_what_the_new_address_has_counts_as_told() -> None:
     """Servers that had left got requests for up to 20 s: health checks alone told who left."""
     lease = leased()
-    lease.watching(100.0, HOLD)
-    lease.move(110.0)
-    assert lease.expires_at == 110.0 + MOVE_TOLD + SPARE
+    lease.on_watch_opened(100.0, HOLD)
+    lease.on_move(110.0)
+    assert lease.expires_at == 110.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
     for failure in Failure:  # nothing but a list of the new address is proof of what it has
-        lease.failed(failure, 111.0, 113.0)
-    assert lease.expires_at == 110.0 + MOVE_TOLD + SPARE
-    lease.listed(113.5, 113.9)
-    lease.watching(113.9, HOLD)
-    assert lease.expires_at == 113.9 + HOLD + HOLD_TOLD + SPARE
+        lease.on_failure(failure, 111.0, 113.0)
+    assert lease.expires_at == 110.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
+    lease.on_list(113.5, 113.9)
+    lease.on_watch_opened(113.9, HOLD)
+    assert lease.expires_at == 113.9 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
 
 
 def test_moves_in_a_row_give_no_more_time_and_bring_back_no_lease_that_has_ended() -> None:
     lease = leased()
-    lease.watching(100.0, HOLD)
+    lease.on_watch_opened(100.0, HOLD)
     for at in (101.0, 103.0, 104.9):
-        lease.move(at)
-    assert lease.expires_at == 101.0 + MOVE_TOLD + SPARE
+        lease.on_move(at)
+    assert lease.expires_at == 101.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
     ended = leased()
-    ended.move(107.0)
+    ended.on_move(107.0)
     assert not ended.valid(107.0)
     soon = leased()
-    soon.move(104.0)  # without a watch, what went untold before the move counts as told when it did
-    assert soon.expires_at == 100.0 + TOLD_AFTER + SPARE
+    soon.on_move(104.0)  # without a watch, what went untold before the move counts as told when it did
+    assert soon.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
 def test_a_list_of_the_new_address_covers_what_it_had_then_and_no_more() -> None:
     """What comes after that counts as told with all else of that address, unless a watch tells it."""
     lease = leased()
-    lease.move(101.0)
-    lease.listed(101.5, 101.6)
-    assert lease.expires_at == 101.0 + MOVE_TOLD + SPARE
-    lease.watching(101.6, HOLD)
-    assert lease.expires_at == 101.6 + HOLD + HOLD_TOLD + SPARE
-    lease.failed(Failure.WATCH_LOST, 101.6, 104.8)
-    assert lease.expires_at == 101.0 + MOVE_TOLD + SPARE
-    lease.listed(105.0, 105.1)
-    assert lease.expires_at == 105.0 + TOLD_AFTER + SPARE
+    lease.on_move(101.0)
+    lease.on_list(101.5, 101.6)
+    assert lease.expires_at == 101.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
+    lease.on_watch_opened(101.6, HOLD)
+    assert lease.expires_at == 101.6 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
+    lease.on_failure(Failure.WATCH_LOST, 101.6, 104.8)
+    assert lease.expires_at == 101.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
+    lease.on_list(105.0, 105.1)
+    assert lease.expires_at == 105.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
 def test_where_lists_are_pushed_a_move_leaves_its_time_too() -> None:
-    lease = ListLease(told_after=0.0)
-    lease.listed(100.0, 100.0)
-    lease.watching(100.0, HOLD)
-    lease.move(105.0)
-    lease.failed(Failure.WAITED, 105.0, 107.0)
-    assert lease.expires_at == 105.0 + MOVE_TOLD + SPARE
+    lease = ListLease(notified_after=0.0)
+    lease.on_list(100.0, 100.0)
+    lease.on_watch_opened(100.0, HOLD)
+    lease.on_move(105.0)
+    lease.on_failure(Failure.WAITED, 105.0, 107.0)
+    assert lease.expires_at == 105.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
 
 
 def test_pushed_lists_are_used_while_the_watch_goes_on_and_not_a_moment_beyond() -> None:
-    lease = ListLease(told_after=0.0)
-    lease.listed(100.0, 100.0)
-    lease.watching(100.0, HOLD)
+    lease = ListLease(notified_after=0.0)
+    lease.on_list(100.0, 100.0)
+    lease.on_watch_opened(100.0, HOLD)
     assert lease.valid(110.0)
-    lease.failed(Failure.WATCH_LOST, 100.0, 110.0)
-    assert lease.expires_at == 110.0 + SPARE
+    lease.on_failure(Failure.WATCH_LOST, 100.0, 110.0)
+    assert lease.expires_at == 110.0 + GRACE_MARGIN
 
 
 @pytest.mark.parametrize(
@@ -177,14 +177,14 @@
     [
         (ConnectionRefusedError(), False, 0.0, False, Failure.REFUSED),
         (TimeoutError(), True, 4.0, False, Failure.SILENT),
-        (OSError(24, "EMFILE"), False, 0.0, False, Failure.OWN_FAULT),
-        (OSError(101, "ENETUNREACH"), False, 0.0, False, Failure.OWN_FAULT),
+        (OSError(24, "EMFILE"), False, 0.0, False, Failure.LOCAL_ERROR),
+        (OSError(101, "ENETUNREACH"), False, 0.0, False, Failure.LOCAL_ERROR),
         (OSError(113, "EHOSTUNREACH"), True, 9.0, True, Failure.SILENT),
         (ConnectionResetError(), True, 9.0, True, Failure.WATCH_LOST),
         (ConnectionResetError(), True, 2.9, True, Failure.WAITED),
         (ConnectionResetError(), True, 2.0, True, Failure.WAITED),
         (ConnectionResetError(), True, 9.0, False, Failure.WAITED),
-        (ValueError("status 503"), True, 0.01, True, Failure.AT_ONCE),
+        (ValueError("status 503"), True, 0.01, True, Failure.IMMEDIATE),
         (ValueError("status 503"), True, 0.6, True, Failure.WATCH_CUT),
         (ValueError("status 503"), True, 2.0, False, Failure.WAITED),
         (ValueError("malformed"), True, 3.5, False, Failure.WAITED),
@@ -200,16 +200,16 @@
     """On a day of 60 proxies 24 watches that ended after 2 to 3 s were taken for calls in turn: their lists
     ran out 3 s early. A call in turn has failed by then, also where its end is seen half a second late."""
     waits = (1.0, 2.0, 2.4, 2.6, 2.9, 3.1)
-    free = [classify(waited, continued=True, free=True) for waited in waits]
+    free = [classify(waited, continued=True, short_queue=True) for waited in waits]
     assert free == [Failure.WATCH_CUT] + [Failure.WAITED] * 2 + [Failure.WATCH_LOST] * 3
     other = [classify(waited, continued=True) for waited in waits]
     assert other == [Failure.WATCH_CUT] + [Failure.WAITED] * 4 + [Failure.WATCH_LOST]
-    assert Failure.WATCH_LOST not in [classify(waited, continued=False, free=True) for waited in waits]
+    assert Failure.WATCH_LOST not in [classify(waited, continued=False, short_queue=True) for waited in waits]
 
 
 def asking(**changes: object) -> Driver:
     setup = settings(
-        ask_for_list=True, notified_after=TOLD_AFTER, may_advise_wait=True, max_wait_advice=2.0, **changes
+        ask_for_list=True, notified_after=NOTIFIED_AFTER, may_advise_wait=True, max_wait_advice=2.0, **changes
     )
     return Driver(setup, servers=entries(1, 2))
 
@@ -240,7 +240,7 @@
     made = asking()
     made.feed(ServerList(ListKind.INCREMENTAL))
     made.arrive(1, "once")
-    actions = made.wait(TOLD_AFTER + 1.0)
+    actions = made.wait(NOTIFIED_AFTER + 1.0)
     assert not any(isinstance(action, Refuse) for action in actions)
 
 
@@ -288,7 +288,7 @@
         while t < self.end + 20.0:
             if self.mode(t) in UNREACHABLE:
                 since = t + STEP
-            elif t - since >= TOLD_AFTER:
+            elif t - since >= NOTIFIED_AFTER:
                 return t
             t += STEP
         return math.inf
@@ -330,14 +330,14 @@
                 self._fail(Failure.SILENT, begun, now)
         elif watch:
             if mode in ("refusing", "failing at once", "failing late"):
-                self.troubled = self.troubled or SHORTEST_TURN <= waited <= LONGEST_TURN
+                self.troubled = self.troubled or MIN_QUEUE_TIME <= waited <= MAX_QUEUE_TIME
                 self._fail(classify(waited, continued=True), begun, now)
             elif self.known(t) > self.held or waited >= RENEWED_AFTER:
                 self._listed(t)
         elif at_begin == "refusing":
             self._fail(Failure.REFUSED, begun, now)
         elif at_begin in ("failing at once", "shedding"):
-            self._fail(Failure.AT_ONCE, begun, now)
+            self._fail(Failure.IMMEDIATE, begun, now)
         elif at_begin in ("failing late", "crowded"):
             self.troubled = True
             if waited >= TURN:
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -17,7 +17,7 @@
 from netkit import endpoint, run
 from test_discovery import HERE, OnCommand, states
 
-from granitepoint.membership.version_history import MOST_REPEATED, VersionHistory
+from granitepoint.membership.version_history import MAX_REPEATED_ENTRIES, VersionHistory
 from granitepoint.net import discovery as net
 
 CHANGED = {1, 2}
@@ -27,14 +27,14 @@
 def history(version: int = 40) -> VersionHistory:
     """Versions 39 and 40 are known, the last of them by what it changed."""
     made = VersionHistory(version - 1)
-    made.told(version - 1, version, CHANGED)
+    made.record(version - 1, version, CHANGED)
     return made
 
 
 def test_the_last_change_is_asked_for_once_more() -> None:
-    assert history().ask_from == 39 and history().comparable
+    assert history().request_from == 39 and history().comparable
     unchanged = VersionHistory(40)
-    assert unchanged.ask_from == 40 and not unchanged.comparable
+    assert unchanged.request_from == 40 and not unchanged.comparable
 
 
 @pytest.mark.parametrize(
@@ -52,25 +52,25 @@
 def test_another_service_is_told_by_its_index_and_by_the_change_that_it_does_not_know(
     version: int, servers: set[int], goes_on: bool
 ) -> None:
-    assert history().goes_on_with(version, servers) is goes_on
+    assert history().is_continued_by(version, servers) is goes_on
 
 
 def test_a_whole_list_or_a_large_change_leaves_nothing_to_compare() -> None:
     whole = history()
-    whole.told(None, 41, {1, 2, 3})
+    whole.record(None, 41, {1, 2, 3})
     large = history()
-    large.told(40, 41, range(MOST_REPEATED + 1))
+    large.record(40, 41, range(MAX_REPEATED_ENTRIES + 1))
     for made in (whole, large):
-        assert made.ask_from == 41 and not made.comparable
-        assert made.goes_on_with(41, set()) and not made.goes_on_with(40, set())
+        assert made.request_from == 41 and not made.comparable
+        assert made.is_continued_by(41, set()) and not made.is_continued_by(40, set())
 
 
 def test_an_answer_without_news_leaves_the_last_change_in_place() -> None:
     made = history()
-    made.told(40, 40, set())
-    assert made.ask_from == 39
-    made.told(39, 41, {1, 2, 5})  # the same once more, with what came since
-    assert made.ask_from == 39 and not made.goes_on_with(41, {1, 2})
+    made.record(40, 40, set())
+    assert made.request_from == 39
+    made.record(39, 41, {1, 2, 5})  # the same once more, with what came since
+    assert made.request_from == 39 and not made.is_continued_by(41, {1, 2})
 
 
 @asynccontextmanager
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -18,7 +18,7 @@
 
 from granitepoint.faults.rig import rig
 from granitepoint.faults.syscalls import Fault, build, compiler, environment
-from granitepoint.membership.start_times import OLDEST_NEWS, StartTimes
+from granitepoint.membership.start_times import MAX_NEW_START_AGE, StartTimes
 from granitepoint.net.listing import read_listing
 
 OTHER_CLOCK = 1.7e9  # s that the clock of the lists is ahead of the instance's, unknown to it
@@ -53,21 +53,21 @@
 
 def test_a_start_is_never_placed_before_the_truth_and_keeps_its_distance_to_the_others() -> None:
     starts = StartTimes()
-    found = starts.listed({"a": OTHER_CLOCK + 90.0, "b": OTHER_CLOCK + 97.0, "c": 0.0}, 100.0)
+    found = starts.to_local_times({"a": OTHER_CLOCK + 90.0, "b": OTHER_CLOCK + 97.0, "c": 0.0}, 100.0)
     assert found == pytest.approx({"a": 93.0, "b": 100.0, "c": 0.0})
-    later = starts.listed({"a": OTHER_CLOCK + 90.0, "d": OTHER_CLOCK + 149.0}, 150.0)
+    later = starts.to_local_times({"a": OTHER_CLOCK + 90.0, "d": OTHER_CLOCK + 149.0}, 150.0)
     assert later == pytest.approx({"a": 93.0, "d": 149.0 + 1.0})  # the quickest list was 1 s late
-    quick = starts.listed({"e": OTHER_CLOCK + 160.0, "f": OTHER_CLOCK + 158.0}, 160.0)
+    quick = starts.to_local_times({"e": OTHER_CLOCK + 160.0, "f": OTHER_CLOCK + 158.0}, 160.0)
     assert quick == pytest.approx({"e": 160.0, "f": 158.0})
 
 
 def test_the_same_start_is_placed_at_the_same_moment_in_every_list_and_a_further_one_later() -> None:
     """A server whose start seemed to move would be taken for one that was started again."""
     starts = StartTimes()
-    first = starts.listed({"a": OTHER_CLOCK + 50.0}, 100.0)
-    again = starts.listed({"a": OTHER_CLOCK + 50.0, "b": OTHER_CLOCK + 110.0}, 110.0)
+    first = starts.to_local_times({"a": OTHER_CLOCK + 50.0}, 100.0)
+    again = starts.to_local_times({"a": OTHER_CLOCK + 50.0, "b": OTHER_CLOCK + 110.0}, 110.0)
     assert first["a"] == again["a"] == 100.0
-    restarted = starts.listed({"a": OTHER_CLOCK + 90.0}, 111.0)
+    restarted = starts.to_local_times({"a": OTHER_CLOCK + 90.0}, 111.0)
     assert again["a"] < restarted["a"] <= 111.0
 
 
@@ -75,17 +75,17 @@
 def test_where_one_server_has_a_clock_of_its_own_what_is_told_later_passes_for_no_older(step: float) -> None:
     """All machines read one clock: this is relied on. Broken, a start that is news is taken for just now."""
     starts = StartTimes()
-    starts.listed({"a": OTHER_CLOCK + 100.0}, 100.0)
-    starts.listed({"odd": OTHER_CLOCK + 110.0 + step}, 110.0)
-    found = starts.listed({"b": OTHER_CLOCK + 119.0}, 120.0)
-    assert found["b"] >= 119.0 - (step if 0 < step < OLDEST_NEWS else 0.0)
+    starts.to_local_times({"a": OTHER_CLOCK + 100.0}, 100.0)
+    starts.to_local_times({"odd": OTHER_CLOCK + 110.0 + step}, 110.0)
+    found = starts.to_local_times({"b": OTHER_CLOCK + 119.0}, 120.0)
+    assert found["b"] >= 119.0 - (step if 0 < step < MAX_NEW_START_AGE else 0.0)
 
 
 def test_a_list_that_is_old_makes_no_later_start_seem_older() -> None:
     """A process is started with the list that its forerunner had, perhaps an hour ago."""
     starts = StartTimes()
-    starts.listed({"a": OTHER_CLOCK - 3600.0}, 100.0)
-    assert starts.listed({"a": OTHER_CLOCK - 3600.0, "b": OTHER_CLOCK + 99.0}, 100.5)["b"] == 100.5
+    starts.to_local_times({"a": OTHER_CLOCK - 3600.0}, 100.0)
+    assert starts.to_local_times({"a": OTHER_CLOCK - 3600.0, "b": OTHER_CLOCK + 99.0}, 100.5)["b"] == 100.5
 
 
 def test_the_wall_clock_is_not_asked(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -112,5 +112,5 @@
 
 def test_a_server_whose_own_clock_was_stepped_makes_no_other_of_the_first_list_seem_older() -> None:
     """Taken for warm, a cold server gets more than slow start allows."""
-    found = StartTimes().listed({"odd": OTHER_CLOCK + 99.0 + 3600.0, "b": OTHER_CLOCK + 99.0}, 100.0)
+    found = StartTimes().to_local_times({"odd": OTHER_CLOCK + 99.0 + 3600.0, "b": OTHER_CLOCK + 99.0}, 100.0)
     assert found["b"] >= 99.0
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -5,7 +5,7 @@
 import pytest
 
 from granitepoint.faults.turns import Day, play
-from granitepoint.membership.list_lease import MOVE_TOLD, TOLD_AFTER
+from granitepoint.membership.list_lease import NOTIFIED_AFTER, NOTIFIED_AFTER_MOVE
 
 QUEUE = 2.0  # s that a call waits in turn at most
 
@@ -15,15 +15,15 @@
     """A round of 3.5 s, with a change each second and a fifth of the fleet restarted meanwhile. With whole
     lists for all, a third had none 4 s after the move, and the last after 16 s."""
     told = play(Day(proxies, round=3.5, end=40.0, move_at=20.0, restarts=proxies // 5))
-    assert told.last_wait < MOVE_TOLD and told.never == 0
-    assert told.longest_without < MOVE_TOLD  # a restarted one, until its first list
+    assert told.last_wait < NOTIFIED_AFTER_MOVE and told.never == 0
+    assert told.longest_without < NOTIFIED_AFTER_MOVE  # a restarted one, until its first list
 
 
 @pytest.mark.parametrize("proxies", [20, 60])
 def test_a_return_tells_everybody_within_a_round_and_the_wait_in_turn(proxies: int) -> None:
     told = play(Day(proxies, round=5.0, end=40.0, down=(15.0, 23.0), restarts=proxies // 5))
     assert told.last_wait < 5.0 + QUEUE and told.never == 0
-    assert told.median_wait < TOLD_AFTER / 2 + 0.5
+    assert told.median_wait < NOTIFIED_AFTER / 2 + 0.5
 
 
 def test_a_day_is_the_same_again() -> None:
