--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -25,7 +25,7 @@
 from granitepoint.membership.list_lease import NOTIFIED_AFTER
 
 
-class Most(Random):
+class MaximumRandom(Random):
     """No chance: what is drawn is always the longest pause."""
 
     def random(self) -> float:
@@ -34,66 +34,66 @@
 
 def pauses(failure: Failure, count: int) -> list[float]:
     """Of calls that fail as soon as they are made."""
-    backoff, now, found = Backoff(Most()), 0.0, []
+    backoff, now, results = Backoff(MaximumRandom()), 0.0, []
     for _ in range(count):
-        found.append(backoff.failed(failure, now))
-        now += found[-1]
-    return found
+        results.append(backoff.failed(failure, now))
+        now += results[-1]
+    return results
 
 
-def begins(backoff: Backoff, count: int, waited: float = 2.0) -> list[float]:
+def call_starts(backoff: Backoff, count: int, waited: float = 2.0) -> list[float]:
     """When calls begin that all wait and fail, the first of them made at the loss; in s after that."""
-    now, found = 0.0, [0.0]
+    now, results = 0.0, [0.0]
     for _ in range(count):
-        found.append(now + waited + backoff.failed(Failure.WAITED, now + waited))
-        now = found[-1]
-    return found
+        results.append(now + waited + backoff.failed(Failure.WAITED, now + waited))
+        now = results[-1]
+    return results
 
 
 def test_the_pause_after_calls_that_waited_grows_up_to_the_longest_where_no_turn_is_known() -> None:
     """Congestion collapse: calls may come faster than they can be answered by a service of any speed."""
-    found = pauses(Failure.WAITED, 2000)
-    assert found[1 : CONSTANT_ROUNDS + 1] == pytest.approx([MIN_ROUND_LENGTH] * CONSTANT_ROUNDS)
-    assert found[CONSTANT_ROUNDS + 2] > MIN_ROUND_LENGTH and found[-1] == pytest.approx(MAX_PAUSE)
+    results = pauses(Failure.WAITED, 2000)
+    assert results[1 : CONSTANT_ROUNDS + 1] == pytest.approx([MIN_ROUND_LENGTH] * CONSTANT_ROUNDS)
+    assert results[CONSTANT_ROUNDS + 2] > MIN_ROUND_LENGTH and results[-1] == pytest.approx(MAX_PAUSE)
     assert pauses(Failure.SILENT, 2) == pauses(Failure.WAITED, 2)
 
 
 @pytest.mark.parametrize(
-    ("instances", "turn", "most"),
+    ("instances", "service_time", "maximum"),
     [(200, 0.001, DEFAULT_MAX_ROUND_LENGTH), (200, 0.04, 16.0), (20, 0.3, 12.0)],
 )
 def test_after_an_outage_that_lasted_long_the_next_call_is_no_further_than_discovery_needs(
-    instances: int, turn: float, most: float
+    instances: int, service_time: float, maximum: float
 ) -> None:
     """The service may only have been away, however often calls failed: all have to be told soon after."""
-    backoff = Backoff(Most(), instances=instances)
+    backoff = Backoff(MaximumRandom(), instances=instances)
     backoff.succeeded(2.0)  # it had to wait, and tells little
-    backoff.succeeded(turn)
-    at = begins(backoff, 40)
-    spacings = [later - now for now, later in pairwise(at)]
-    assert max(spacings) == pytest.approx(most) and max(spacings[:CONSTANT_ROUNDS]) < MIN_ROUND_LENGTH + 2.0
+    backoff.succeeded(service_time)
+    starts = call_starts(backoff, 40)
+    spacings = [next_start - start for start, next_start in pairwise(starts)]
+    assert max(spacings) == pytest.approx(maximum) and max(spacings[:CONSTANT_ROUNDS]) < MIN_ROUND_LENGTH + 2.0
     backoff.succeeded(None)  # an answer that tells nothing of its turn takes none of it back
-    assert backoff.max_round_length == pytest.approx(most)
+    assert backoff.max_round_length == pytest.approx(maximum)
 
 
 @pytest.mark.parametrize("instances", [20, 60, 200, 880])
 def test_calls_that_fail_come_evenly_however_many_ask_and_at_whatever_moment(instances: int) -> None:
     """All fell out of step with each other's turn before: in some seconds after a return nobody called."""
-    at: list[float] = []
+    starts: list[float] = []
     for number in range(instances):
-        place = number * 0.6180339887498949 % 1.0
-        at += begins(Backoff(Random(number), instances=instances, phase=place), CONSTANT_ROUNDS)[1:]
-    counts = Counter(int(moment / 0.5) for moment in at if 3.0 <= moment < 9.0)
-    fair = instances * 0.5 / MIN_ROUND_LENGTH
-    assert all(0.5 * fair - 1 <= counts[half] <= 1.8 * fair + 2 for half in range(6, 18)), counts
+        phase = number * 0.6180339887498949 % 1.0
+        starts += call_starts(Backoff(Random(number), instances=instances, phase=phase), CONSTANT_ROUNDS)[1:]
+    counts = Counter(int(moment / 0.5) for moment in starts if 3.0 <= moment < 9.0)
+    expected = instances * 0.5 / MIN_ROUND_LENGTH
+    assert all(0.5 * expected - 1 <= counts[half] <= 1.8 * expected + 2 for half in range(6, 18)), counts
 
 
 def test_the_first_calls_after_a_failure_begin_no_further_apart_than_the_shortest_round() -> None:
     """But for the first, which may have been made right before the instance's place in the round."""
     for seed in range(50):
-        at = begins(Backoff(Random(seed)), CONSTANT_ROUNDS)
-        assert at[1] <= MIN_ROUND_LENGTH + 2.0
-        assert [later - now for now, later in pairwise(at[1:])] == pytest.approx([MIN_ROUND_LENGTH])
+        starts = call_starts(Backoff(Random(seed)), CONSTANT_ROUNDS)
+        assert starts[1] <= MIN_ROUND_LENGTH + 2.0
+        assert [next_start - start for start, next_start in pairwise(starts[1:])] == pytest.approx([MIN_ROUND_LENGTH])
 
 
 def test_the_pause_after_a_refused_connection_stays_short_however_many_there_were() -> None:
@@ -107,7 +107,7 @@
 
 
 def test_a_call_that_succeeds_starts_anew() -> None:
-    backoff = Backoff(Most())
+    backoff = Backoff(MaximumRandom())
     for _ in range(4):
         backoff.failed(Failure.WAITED, 0.0)
     backoff.succeeded()
@@ -117,38 +117,38 @@
 
 @pytest.mark.parametrize("failure", list(Failure))
 def test_pauses_differ_from_one_instance_to_the_next(failure: Failure) -> None:
-    kind = PAUSE_POLICIES[failure]
+    policy = PAUSE_POLICIES[failure]
     first = [Backoff(Random(seed)).failed(failure, 0.0) for seed in range(50)]
-    assert all(kind.first * kind.min_fraction <= pause <= kind.first for pause in first)
-    assert max(first) - min(first) > 0.8 * (1 - kind.min_fraction) * kind.first
+    assert all(policy.first * policy.min_fraction <= pause <= policy.first for pause in first)
+    assert max(first) - min(first) > 0.8 * (1 - policy.min_fraction) * policy.first
 
 
-@pytest.mark.parametrize("must_ask_within, most", [(10.0, 40.0), (3.0, 12.0), (60.0, MAX_PAUSE)])
+@pytest.mark.parametrize("must_ask_within, maximum", [(10.0, 40.0), (3.0, 12.0), (60.0, MAX_PAUSE)])
 def test_an_instance_asks_again_later_after_each_failure_but_within_its_bound(
-    must_ask_within: float, most: float
+    must_ask_within: float, maximum: float
 ) -> None:
     """It counts as told if it goes without asking for four times the settings' time after a failed call."""
-    made = Driver(settings(ask_for_list=True, must_ask_within=must_ask_within))
-    made.wait(3.0)
+    driver = Driver(settings(ask_for_list=True, must_ask_within=must_ask_within))
+    driver.wait(3.0)
     waits = []
     for _ in range(30):
-        made.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
-        failed_at = made.now
-        while not any(isinstance(action, Watch) for action in made.wait(0.05)):
+        driver.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
+        failed_at = driver.now
+        while not any(isinstance(action, Watch) for action in driver.wait(0.05)):
             pass
-        waits.append(made.now - failed_at)
+        waits.append(driver.now - failed_at)
     assert waits[0] <= OVERLOADED.first + 0.1
-    assert max(waits) <= most + 0.1
-    assert max(waits[15:]) >= most * 0.6
+    assert max(waits) <= maximum + 0.1
+    assert max(waits[15:]) >= maximum * 0.6
 
 
 def test_the_kind_of_a_failure_is_told_from_its_time_where_nothing_else_tells_it() -> None:
     """As in the simulator."""
-    made = Driver(settings(ask_for_list=True))
-    while not any(isinstance(action, Watch) for action in made.wait(0.05)):
+    driver = Driver(settings(ask_for_list=True))
+    while not any(isinstance(action, Watch) for action in driver.wait(0.05)):
         pass
-    made.feed(ServerList(ListKind.FAILED))
-    failed_at = made.now
-    while not any(isinstance(action, Watch) for action in made.wait(0.05)):
+    driver.feed(ServerList(ListKind.FAILED))
+    failed_at = driver.now
+    while not any(isinstance(action, Watch) for action in driver.wait(0.05)):
         pass
-    assert made.now - failed_at <= REJECTED.first + 0.1
+    assert driver.now - failed_at <= REJECTED.first + 0.1
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,33 +16,33 @@
 )
 from granitepoint.membership.list_lease import NOTIFIED_AFTER_MOVE
 
-TOLD_AFTER = 6.0  # s after a change from which it counts as told, answered or not
-CONNECT_TIMEOUT, HELD_UP = 0.25, 0.15  # s that an attempt may take from the decision to its first byte
+NOTIFIED_AFTER = 6.0  # s after a change from which it counts as told, answered or not
+CONNECT_TIMEOUT, MAX_PROCESS_DELAY = 0.25, 0.15  # s that an attempt may take from the decision to its first byte
 
 
-class Checked(Driver):
+class HealthCheckedDriver(Driver):
     """An instance whose list was just confirmed, and servers that answer each health check at once."""
 
     def __init__(self, servers: int, **changes: object) -> None:
         self.health = dict.fromkeys(range(1, servers + 1), Status.OK)
         self.checks: list[int] = []  # the servers that were checked
-        self.answering = True
-        setup = settings(ask_for_list=True, may_probe=True, price_probe=1.0, **changes)
-        super().__init__(setup, servers=entries(*self.health))
+        self.checks_answered = True
+        driver_settings = settings(ask_for_list=True, may_probe=True, price_probe=1.0, **changes)
+        super().__init__(driver_settings, servers=entries(*self.health))
         self.feed(ServerList(ListKind.INCREMENTAL))
 
     def feed(self, *events: Event) -> list[Action]:
         actions = super().feed(*events)
-        asked = [action.server for action in actions if isinstance(action, Probe)]
-        self.checks += asked
-        if asked and self.answering:
+        probed = [action.server for action in actions if isinstance(action, Probe)]
+        self.checks += probed
+        if probed and self.checks_answered:
             actions = actions + self.feed(
-                *(ProbeResult(server, self.health[server], 0.0) for server in asked)
+                *(ProbeResult(server, self.health[server], 0.0) for server in probed)
             )
         return actions
 
-    def lose(self, told_within: float = math.inf) -> None:
-        self.feed(WatchLost(told_within))
+    def lose_watch(self, notified_within: float = math.inf) -> None:
+        self.feed(WatchLost(notified_within))
 
     def stop_health_checks(self) -> None:
         """None reaches its server, so nothing is known against any of them."""
@@ -50,110 +50,110 @@
 
 
 def test_a_lease_ends_before_an_untold_change_counts_as_told() -> None:
-    assert LEASE_DURATION + CONNECT_TIMEOUT + HELD_UP < TOLD_AFTER
+    assert LEASE_DURATION + CONNECT_TIMEOUT + MAX_PROCESS_DELAY < NOTIFIED_AFTER
     assert NOTIFIED_LEASE_DURATION <= 1.0 < RENEW_AFTER < LEASE_DURATION
 
 
 def test_the_list_alone_is_enough_for_one_lease_after_the_watch_is_lost() -> None:
-    made = Checked(2)
-    made.wait(100.0)
-    made.stop_health_checks()
-    made.lose()
-    made.wait(LEASE_DURATION - 0.1)
-    assert only_send(made.arrive(1)).server in (1, 2)
-    made.wait(0.2)
-    assert sends(made.arrive(2)) == []
+    driver = HealthCheckedDriver(2)
+    driver.wait(100.0)
+    driver.stop_health_checks()
+    driver.lose_watch()
+    driver.wait(LEASE_DURATION - 0.1)
+    assert only_send(driver.arrive(1)).server in (1, 2)
+    driver.wait(0.2)
+    assert sends(driver.arrive(2)) == []
 
 
 def test_a_further_failed_call_is_no_new_lease() -> None:
-    made = Checked(2)
-    made.wait(100.0)
-    made.stop_health_checks()
-    made.lose()
-    made.wait(LEASE_DURATION - 0.1)
-    made.lose()
-    made.wait(0.2)
-    assert sends(made.arrive(1)) == []
+    driver = HealthCheckedDriver(2)
+    driver.wait(100.0)
+    driver.stop_health_checks()
+    driver.lose_watch()
+    driver.wait(LEASE_DURATION - 0.1)
+    driver.lose_watch()
+    driver.wait(0.2)
+    assert sends(driver.arrive(1)) == []
 
 
-@pytest.mark.parametrize("well", [1, 2])
-def test_a_request_goes_to_the_server_that_passes_its_health_check(well: int) -> None:
-    made = Checked(2)
-    made.health[3 - well] = Status.ERROR
-    made.lose()
-    made.wait(10 * LEASE_DURATION)
-    assert only_send(made.arrive(1)).server == well
+@pytest.mark.parametrize("healthy", [1, 2])
+def test_a_request_goes_to_the_server_that_passes_its_health_check(healthy: int) -> None:
+    driver = HealthCheckedDriver(2)
+    driver.health[3 - healthy] = Status.ERROR
+    driver.lose_watch()
+    driver.wait(10 * LEASE_DURATION)
+    assert only_send(driver.arrive(1)).server == healthy
 
 
 def test_a_request_that_waits_for_a_health_check_goes_out_when_one_is_passed() -> None:
-    made = Checked(1)
-    made.stop_health_checks()
-    made.lose()
-    made.wait(LEASE_DURATION + 0.1)
-    assert sends(made.arrive(1)) == []
-    made.health[1] = Status.OK
-    assert only_send(made.wait(0.6)).call == 1
+    driver = HealthCheckedDriver(1)
+    driver.stop_health_checks()
+    driver.lose_watch()
+    driver.wait(LEASE_DURATION + 0.1)
+    assert sends(driver.arrive(1)) == []
+    driver.health[1] = Status.OK
+    assert only_send(driver.wait(0.6)).call == 1
 
 
 def test_a_server_that_fails_its_health_check_loses_its_lease_at_once() -> None:
-    made = Checked(1)
-    made.lose()
-    made.wait(LEASE_DURATION + 0.1)
-    made.settle(only_send(made.arrive(1)), Status.OK)
-    made.feed(ProbeResult(1, Status.ERROR, 0.0))
-    made.stop_health_checks()
-    assert sends(made.arrive(2)) == []
+    driver = HealthCheckedDriver(1)
+    driver.lose_watch()
+    driver.wait(LEASE_DURATION + 0.1)
+    driver.settle(only_send(driver.arrive(1)), Status.OK)
+    driver.feed(ProbeResult(1, Status.ERROR, 0.0))
+    driver.stop_health_checks()
+    assert sends(driver.arrive(2)) == []
 
 
 def test_a_list_confirms_all_that_it_leaves() -> None:
-    made = Checked(2)
-    made.stop_health_checks()
-    made.lose()
-    made.wait(LEASE_DURATION + 0.1)
-    made.feed(ServerList(ListKind.INCREMENTAL))
-    assert only_send(made.arrive(1)).server in (1, 2)
+    driver = HealthCheckedDriver(2)
+    driver.stop_health_checks()
+    driver.lose_watch()
+    driver.wait(LEASE_DURATION + 0.1)
+    driver.feed(ServerList(ListKind.INCREMENTAL))
+    assert only_send(driver.arrive(1)).server in (1, 2)
 
 
 @pytest.mark.parametrize("checked_after", [False, True])
 def test_after_a_move_no_earlier_health_check_counts_once_all_is_told(checked_after: bool) -> None:
-    made = Checked(1)
-    made.lose(NOTIFIED_AFTER_MOVE)
-    made.wait(NOTIFIED_AFTER_MOVE - 0.2)
-    made.settle(only_send(made.arrive(1)), Status.OK)
+    driver = HealthCheckedDriver(1)
+    driver.lose_watch(NOTIFIED_AFTER_MOVE)
+    driver.wait(NOTIFIED_AFTER_MOVE - 0.2)
+    driver.settle(only_send(driver.arrive(1)), Status.OK)
     if not checked_after:
-        made.stop_health_checks()
-    made.wait(0.15)
-    assert len(sends(made.arrive(2) + made.wait(0.05))) == checked_after
+        driver.stop_health_checks()
+    driver.wait(0.15)
+    assert len(sends(driver.arrive(2) + driver.wait(0.05))) == checked_after
 
 
 def test_once_changes_count_as_told_at_once_a_health_check_is_good_for_a_moment_only() -> None:
-    made = Checked(1)
-    made.lose(NOTIFIED_AFTER_MOVE)
-    made.wait(NOTIFIED_AFTER_MOVE)
-    made.settle(only_send(made.arrive(1)), Status.OK)
-    made.stop_health_checks()
-    made.wait(NOTIFIED_LEASE_DURATION - 0.1)
-    made.settle(only_send(made.arrive(2)), Status.OK)
-    made.wait(0.2)
-    assert sends(made.arrive(3)) == []
+    driver = HealthCheckedDriver(1)
+    driver.lose_watch(NOTIFIED_AFTER_MOVE)
+    driver.wait(NOTIFIED_AFTER_MOVE)
+    driver.settle(only_send(driver.arrive(1)), Status.OK)
+    driver.stop_health_checks()
+    driver.wait(NOTIFIED_LEASE_DURATION - 0.1)
+    driver.settle(only_send(driver.arrive(2)), Status.OK)
+    driver.wait(0.2)
+    assert sends(driver.arrive(3)) == []
 
 
 def test_where_health_checks_are_not_allowed_the_list_is_trusted_as_it_is() -> None:
-    made = Driver(settings(ask_for_list=True))
-    made.feed(WatchLost())
-    made.wait(10 * LEASE_DURATION)
-    assert only_send(made.arrive(1))
+    driver = Driver(settings(ask_for_list=True))
+    driver.feed(WatchLost())
+    driver.wait(10 * LEASE_DURATION)
+    assert only_send(driver.arrive(1))
 
 
 def test_only_calls_in_hand_make_health_checks_for_leases() -> None:
     """Beside the steady few that every instance makes."""
-    made, idle = Checked(8), Checked(8)
-    for each in (made, idle):
-        each.stop_health_checks()
-        each.lose()
-        each.wait(10 * LEASE_DURATION)
-        each.checks.clear()
-        each.answering = False
-    made.arrive(1)
+    driver, idle = HealthCheckedDriver(8), HealthCheckedDriver(8)
+    for instance in (driver, idle):
+        instance.stop_health_checks()
+        instance.lose_watch()
+        instance.wait(10 * LEASE_DURATION)
+        instance.checks.clear()
+        instance.checks_answered = False
+    driver.arrive(1)
     idle.feed()
-    assert (len(made.checks), idle.checks) == (MIN_LEASED_SERVERS, [])
+    assert (len(driver.checks), idle.checks) == (MIN_LEASED_SERVERS, [])
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -25,27 +25,27 @@
 
 
 @pytest.mark.skipif(compiler() is None, reason="needs a C compiler")
-@pytest.mark.parametrize("step", ["0", "3600", "-3600", "5"])
+@pytest.mark.parametrize("clock_step", ["0", "3600", "-3600", "5"])
 def test_a_cold_server_is_spared_by_a_proxy_whose_clock_was_stepped_before_its_start(
-    step: str, tmp_path: Path
+    clock_step: str, tmp_path: Path
 ) -> None:
     """Nine servers are warm. At 0.4 of its capacity, and half of three times that, the cold one may get six
     tenths of what the others get, in the mean over its first second."""
 
     async def test() -> None:
-        async with rig(tmp_path, 1, servers=10) as made:
-            made.settings["contract"].update(cold=20.0, cold_from=0.1)
-            made.discovery.entries["s-0000"].since_ms = int(time.time() * 1000)
-            faults = [Fault("clock", step, 1.0, 0.0, 60.0)] if step != "0" else []
-            variables = environment(build(tmp_path), faults, 1, tmp_path / "counts") if faults else {}
-            proxy = await made.add_proxy(variables)
-            await made.ready()
-            clients = made.start_clients(proxy, 12)
+        async with rig(tmp_path, 1, servers=10) as test_rig:
+            test_rig.settings["contract"].update(cold=20.0, cold_from=0.1)
+            test_rig.discovery.entries["s-0000"].since_ms = int(time.time() * 1000)
+            faults = [Fault("clock", clock_step, 1.0, 0.0, 60.0)] if clock_step != "0" else []
+            environment_variables = environment(build(tmp_path), faults, 1, tmp_path / "counts") if faults else {}
+            proxy = await test_rig.add_proxy(environment_variables)
+            await test_rig.ready()
+            clients = test_rig.start_clients(proxy, 12)
             await asyncio.sleep(2.0)
-            made.clients[0].stopped = True
+            test_rig.clients[0].stopped = True
             await clients
-            sent = {name: len(server.attempts) for name, server in made.servers.items()}
-            warm = sum(many for name, many in sent.items() if name != "s-0000") / 9
+            sent = {name: len(server.attempts) for name, server in test_rig.servers.items()}
+            warm = sum(attempts for name, attempts in sent.items() if name != "s-0000") / 9
             assert sent["s-0000"] < 0.45 * warm, sent
 
     run(test())
@@ -53,8 +53,8 @@
 
 def test_a_start_is_never_placed_before_the_truth_and_keeps_its_distance_to_the_others() -> None:
     starts = StartTimes()
-    found = starts.to_local_times({"a": OTHER_CLOCK + 90.0, "b": OTHER_CLOCK + 97.0, "c": 0.0}, 100.0)
-    assert found == pytest.approx({"a": 93.0, "b": 100.0, "c": 0.0})
+    local_times = starts.to_local_times({"a": OTHER_CLOCK + 90.0, "b": OTHER_CLOCK + 97.0, "c": 0.0}, 100.0)
+    assert local_times == pytest.approx({"a": 93.0, "b": 100.0, "c": 0.0})
     later = starts.to_local_times({"a": OTHER_CLOCK + 90.0, "d": OTHER_CLOCK + 149.0}, 150.0)
     assert later == pytest.approx({"a": 93.0, "d": 149.0 + 1.0})  # the quickest list was 1 s late
     quick = starts.to_local_times({"e": OTHER_CLOCK + 160.0, "f": OTHER_CLOCK + 158.0}, 160.0)
@@ -71,14 +71,14 @@
     assert again["a"] < restarted["a"] <= 111.0
 
 
-@pytest.mark.parametrize("step", [3600.0, -3600.0, 8.0])
-def test_where_one_server_has_a_clock_of_its_own_what_is_told_later_passes_for_no_older(step: float) -> None:
+@pytest.mark.parametrize("clock_step", [3600.0, -3600.0, 8.0])
+def test_where_one_server_has_a_clock_of_its_own_what_is_told_later_passes_for_no_older(clock_step: float) -> None:
     """All machines read one clock: this is relied on. Broken, a start that is news is taken for just now."""
     starts = StartTimes()
     starts.to_local_times({"a": OTHER_CLOCK + 100.0}, 100.0)
-    starts.to_local_times({"odd": OTHER_CLOCK + 110.0 + step}, 110.0)
-    found = starts.to_local_times({"b": OTHER_CLOCK + 119.0}, 120.0)
-    assert found["b"] >= 119.0 - (step if 0 < step < MAX_NEW_START_AGE else 0.0)
+    starts.to_local_times({"odd": OTHER_CLOCK + 110.0 + clock_step}, 110.0)
+    local_times = starts.to_local_times({"b": OTHER_CLOCK + 119.0}, 120.0)
+    assert local_times["b"] >= 119.0 - (clock_step if 0 < clock_step < MAX_NEW_START_AGE else 0.0)
 
 
 def test_a_list_that_is_old_makes_no_later_start_seem_older() -> None:
@@ -89,10 +89,10 @@
 
 
 def test_the_wall_clock_is_not_asked(monkeypatch: pytest.MonkeyPatch) -> None:
-    def step() -> float:
+    def read_wall_clock() -> float:
         raise AssertionError("the wall clock was read")
 
-    monkeypatch.setattr(time, "time", step)
+    monkeypatch.setattr(time, "time", read_wall_clock)
     raw = listing(1, endpoint("s-1", "127.0.0.1:1", since_ms=1.7e12), snapshot=True)
     (listed,) = read_listing(raw).backends
     assert 0 < time.monotonic() - listed.entry.started_at < 1.0
@@ -112,5 +112,5 @@
 
 def test_a_server_whose_own_clock_was_stepped_makes_no_other_of_the_first_list_seem_older() -> None:
     """Taken for warm, a cold server gets more than slow start allows."""
-    found = StartTimes().to_local_times({"odd": OTHER_CLOCK + 99.0 + 3600.0, "b": OTHER_CLOCK + 99.0}, 100.0)
-    assert found["b"] >= 99.0
+    local_times = StartTimes().to_local_times({"odd": OTHER_CLOCK + 99.0 + 3600.0, "b": OTHER_CLOCK + 99.0}, 100.0)
+    assert local_times["b"] >= 99.0
--- a/tests/test_unconfirmed_list.py
+++ b/tests/test_unconfirmed_list.py
@@ -39,9 +39,9 @@
     serve_ok,
 )
 
-TOLD_AFTER = 6.0  # s after discovery has a change from which it counts as told, answered or not
-GRACE = 0.3  # s from there in which a request may still go out
-WATCHED = 1.0  # s beyond that
+NOTIFIED_AFTER = 6.0  # s after discovery has a change from which it counts as told, answered or not
+DRAIN_GRACE = 0.3  # s from there in which a request may still go out
+OBSERVED_AFTER = 1.0  # s beyond that
 CALLERS = 4  # at once, so that more than one server is used
 SERVICE_TIME = 0.02  # s
 
@@ -86,7 +86,7 @@
         writer.close()
 
 
-class LeavingDiscovery(Discovery):
+class StoppableDiscovery(Discovery):
     """Told to go away it ends what is open, and nobody listens any more."""
 
     def __init__(self) -> None:
@@ -97,7 +97,7 @@
         self.writers.append(writer)
         await super()._connection(reader, writer)
 
-    def go_away(self) -> None:
+    def stop_listening(self) -> None:
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
@@ -107,22 +107,22 @@
 class Traffic:
     """Callers that ask one thing after another; each request has to be served."""
 
-    def __init__(self, node: Proxy) -> None:
-        self.node = node
+    def __init__(self, running_proxy: Proxy) -> None:
+        self.running_proxy = running_proxy
         self.clock = asyncio.get_running_loop().time
         self.requests = count(1)
 
-    async def until(self, over: Callable[[], bool]) -> None:
+    async def until(self, finished: Callable[[], bool]) -> None:
         async with asyncio.TaskGroup() as callers:
             for _ in range(CALLERS):
-                callers.create_task(self._caller(over))
+                callers.create_task(self._caller(finished))
 
     async def until_time(self, end: float) -> None:
         await self.until(lambda: self.clock() >= end)
 
-    async def _caller(self, over: Callable[[], bool]) -> None:
-        caller = await self.node.caller()
-        while not over():
+    async def _caller(self, finished: Callable[[], bool]) -> None:
+        caller = await self.running_proxy.caller()
+        while not finished():
             answer = await caller.call("canje", f"{next(self.requests):016x}", budget="5000m")
             assert answer.code == 200
 
@@ -132,37 +132,37 @@
     used for as long as it is; what tells of the drain is the health check."""
 
     async def test() -> None:
-        leaving, staying = HealthCheckedBackend(), HealthCheckedBackend()
-        discovery = LeavingDiscovery()
+        draining_backend, healthy_backend = HealthCheckedBackend(), HealthCheckedBackend()
+        discovery = StoppableDiscovery()
         await discovery.start()
-        async with proxy({"s-1": leaving, "s-2": staying}, discovery) as node:
-            traffic = Traffic(node)
-            await traffic.until(lambda: leaving.count > CALLERS and staying.count > CALLERS)
-            discovery.go_away()
-            leaving.draining, drained_at = True, traffic.clock()
-            told_at = drained_at + TOLD_AFTER + GRACE
-            await traffic.until_time(told_at + WATCHED)
-            assert leaving.last_call_at < told_at < staying.last_call_at
+        async with proxy({"s-1": draining_backend, "s-2": healthy_backend}, discovery) as running_proxy:
+            traffic = Traffic(running_proxy)
+            await traffic.until(lambda: draining_backend.count > CALLERS and healthy_backend.count > CALLERS)
+            discovery.stop_listening()
+            draining_backend.draining, drained_at = True, traffic.clock()
+            notified_at = drained_at + NOTIFIED_AFTER + DRAIN_GRACE
+            await traffic.until_time(notified_at + OBSERVED_AFTER)
+            assert draining_backend.last_call_at < notified_at < healthy_backend.last_call_at
 
     run(test())
 
 
-@pytest.mark.parametrize("away", ["failing", "refusing"])
-def test_a_new_process_sends_nothing_at_all_before_its_first_list(away: str) -> None:
+@pytest.mark.parametrize("failure_mode", ["failing", "refusing"])
+def test_a_new_process_sends_nothing_at_all_before_its_first_list(failure_mode: str) -> None:
     """It has the list of before its start, and no one tells it how old that is. A server that left meanwhile
     may pass its health checks; before, those that passed were sent to."""
 
     async def test() -> None:
-        leaving, staying = HealthCheckedBackend(), HealthCheckedBackend()
-        leaving.draining = True
-        with held_address() as nowhere:
+        draining_backend, healthy_backend = HealthCheckedBackend(), HealthCheckedBackend()
+        draining_backend.draining = True
+        with held_address() as closed_address:
             discovery = await FailingDiscovery().start()
-            if away == "refusing":
-                discovery.address = nowhere
-            async with proxy({"s-1": leaving, "s-2": staying}, discovery) as node:
-                answer = await (await node.caller()).call("canje", "1" * 16, budget="1000m")
+            if failure_mode == "refusing":
+                discovery.address = closed_address
+            async with proxy({"s-1": draining_backend, "s-2": healthy_backend}, discovery) as running_proxy:
+                answer = await (await running_proxy.caller()).call("canje", "1" * 16, budget="1000m")
                 assert answer.code == 503 and float(answer.headers["retry-after"]) > 0
-                assert leaving.count == staying.count == 0
+                assert draining_backend.count == healthy_backend.count == 0
 
     run(test())
 
@@ -172,13 +172,13 @@
 
     async def test() -> None:
         one, other = HealthCheckedBackend(), HealthCheckedBackend()
-        discovery = LeavingDiscovery()
+        discovery = StoppableDiscovery()
         await discovery.start()
-        async with proxy({"s-1": one, "s-2": other}, discovery) as node:
-            traffic = Traffic(node)
-            discovery.go_away()
-            end = traffic.clock() + TOLD_AFTER + WATCHED
+        async with proxy({"s-1": one, "s-2": other}, discovery) as running_proxy:
+            traffic = Traffic(running_proxy)
+            discovery.stop_listening()
+            end = traffic.clock() + NOTIFIED_AFTER + OBSERVED_AFTER
             await traffic.until_time(end)
-            assert min(one.last_call_at, other.last_call_at) > end - WATCHED
+            assert min(one.last_call_at, other.last_call_at) > end - OBSERVED_AFTER
 
     run(test())
