--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""The pause after a failed call, against figures worked out by hand."""
+"""The pause after a failed call, compared with values that were calculated by hand."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class MaximumRandom(Random):
-    """No chance: what is drawn is always the longest pause."""
+    """Always returns the upper bound, for which the pause is longest."""
 
     def random(self) -> float:
         return 1.0
 
 
 def pauses(failure: Failure, count: int) -> list[float]:
-    """Of calls that fail as soon as they are made."""
+    """The pauses between calls that fail as soon as they are made."""
     backoff, now, results = Backoff(MaximumRandom()), 0.0, []
     for _ in range(count):
         results.append(backoff.failed(failure, now))
@@ -42,7 +42,8 @@
 
 
 def call_starts(backoff: Backoff, count: int, waited: float = 2.0) -> list[float]:
-    """When calls begin that all wait and fail, the first of them made at the loss; in s after that."""
+    """The start times, in s after the loss, of calls that are all queued and fail. The first starts at the
+    loss."""
     now, results = 0.0, [0.0]
     for _ in range(count):
         results.append(now + waited + backoff.failed(Failure.WAITED, now + waited))
@@ -50,8 +51,9 @@
     return results
 
 
-def test_the_pause_after_calls_that_waited_grows_up_to_the_longest_where_no_turn_is_known() -> None:
-    """Congestion collapse: calls may come faster than they can be answered by a service of any speed."""
+def test_the_pause_after_queued_calls_grows_to_the_maximum_if_the_service_time_is_unknown() -> None:
+    """This prevents congestion collapse: calls may arrive faster than a service of any speed can answer
+    them."""
     results = pauses(Failure.WAITED, 2000)
     assert results[1 : CONSTANT_ROUNDS + 1] == pytest.approx([MIN_ROUND_LENGTH] * CONSTANT_ROUNDS)
     assert results[CONSTANT_ROUNDS + 2] > MIN_ROUND_LENGTH and results[-1] == pytest.approx(MAX_PAUSE)
@@ -62,23 +64,27 @@
     ("instances", "service_time", "maximum"),
     [(200, 0.001, DEFAULT_MAX_ROUND_LENGTH), (200, 0.04, 16.0), (20, 0.3, 12.0)],
 )
-def test_after_an_outage_that_lasted_long_the_next_call_is_no_further_than_discovery_needs(
+def test_after_a_long_outage_the_next_call_is_made_as_soon_as_discovery_can_answer_all(
     instances: int, service_time: float, maximum: float
 ) -> None:
-    """The service may only have been away, however often calls failed: all have to be told soon after."""
+    """However often calls failed, the service may only have been down: all instances need an answer soon
+    after."""
     backoff = Backoff(MaximumRandom(), instances=instances)
-    backoff.succeeded(2.0)  # it had to wait, and tells little
+    backoff.succeeded(2.0)  # the call was queued, so the time is only an upper bound
     backoff.succeeded(service_time)
     starts = call_starts(backoff, 40)
     spacings = [next_start - start for start, next_start in pairwise(starts)]
-    assert max(spacings) == pytest.approx(maximum) and max(spacings[:CONSTANT_ROUNDS]) < MIN_ROUND_LENGTH + 2.0
-    backoff.succeeded(None)  # an answer that tells nothing of its turn takes none of it back
+    assert (
+        max(spacings) == pytest.approx(maximum) and max(spacings[:CONSTANT_ROUNDS]) < MIN_ROUND_LENGTH + 2.0
+    )
+    backoff.succeeded(None)  # an answer of unknown service time does not reset the estimate
     assert backoff.max_round_length == pytest.approx(maximum)
 
 
 @pytest.mark.parametrize("instances", [20, 60, 200, 880])
-def test_calls_that_fail_come_evenly_however_many_ask_and_at_whatever_moment(instances: int) -> None:
-    """All fell out of step with each other's turn before: in some seconds after a return nobody called."""
+def test_failing_calls_arrive_evenly_for_any_number_of_instances_and_at_any_moment(instances: int) -> None:
+    """Pauses that were random for each instance left gaps: in some seconds after the return there was no
+    call."""
     starts: list[float] = []
     for number in range(instances):
         phase = number * 0.6180339887498949 % 1.0
@@ -88,25 +94,28 @@
     assert all(0.5 * expected - 1 <= counts[half] <= 1.8 * expected + 2 for half in range(6, 18)), counts
 
 
-def test_the_first_calls_after_a_failure_begin_no_further_apart_than_the_shortest_round() -> None:
-    """But for the first, which may have been made right before the instance's place in the round."""
+def test_the_first_calls_after_a_failure_start_no_further_apart_than_the_minimum_round() -> None:
+    """Except for the first call, which may have been made right before the instance's phase of the round."""
     for seed in range(50):
         starts = call_starts(Backoff(Random(seed)), CONSTANT_ROUNDS)
         assert starts[1] <= MIN_ROUND_LENGTH + 2.0
-        assert [next_start - start for start, next_start in pairwise(starts[1:])] == pytest.approx([MIN_ROUND_LENGTH])
+        assert [next_start - start for start, next_start in pairwise(starts[1:])] == pytest.approx(
+            [MIN_ROUND_LENGTH]
+        )
 
 
 def test_the_pause_after_a_refused_connection_stays_short_however_many_there_were() -> None:
     assert pauses(Failure.REFUSED, 2000)[-1] == UNREACHABLE.maximum == 1.0
 
 
-def test_no_pause_that_follows_a_proof_is_as_long_as_a_list_may_be_used_after_it() -> None:
-    """A pause of up to 10 s after a refused call outlasted the 6 s by which each change counts as told."""
+def test_a_pause_after_a_proof_is_shorter_than_the_lease_that_the_proof_gives() -> None:
+    """A pause of up to 10 s after a refused call was longer than the 6 s after which the proxy counts as
+    notified of a change."""
     for failure in (Failure.REFUSED, Failure.IMMEDIATE, Failure.WATCH_LOST, Failure.WATCH_CUT):
-        assert max(pauses(failure, 100)) <= NOTIFIED_AFTER - 2.0  # s that the next call may wait in turn
+        assert max(pauses(failure, 100)) <= NOTIFIED_AFTER - 2.0  # s that the next call may be queued
 
 
-def test_a_call_that_succeeds_starts_anew() -> None:
+def test_a_successful_call_resets_the_backoff() -> None:
     backoff = Backoff(MaximumRandom())
     for _ in range(4):
         backoff.failed(Failure.WAITED, 0.0)
@@ -124,10 +133,11 @@
 
 
 @pytest.mark.parametrize("must_ask_within, maximum", [(10.0, 40.0), (3.0, 12.0), (60.0, MAX_PAUSE)])
-def test_an_instance_asks_again_later_after_each_failure_but_within_its_bound(
+def test_an_instance_waits_longer_after_each_failure_but_no_longer_than_its_bound(
     must_ask_within: float, maximum: float
 ) -> None:
-    """It counts as told if it goes without asking for four times the settings' time after a failed call."""
+    """An instance counts as notified if it makes no call for four times `must_ask_within` after a failed
+    one."""
     driver = Driver(settings(ask_for_list=True, must_ask_within=must_ask_within))
     driver.wait(3.0)
     waits = []
@@ -142,8 +152,8 @@
     assert max(waits[15:]) >= maximum * 0.6
 
 
-def test_the_kind_of_a_failure_is_told_from_its_time_where_nothing_else_tells_it() -> None:
-    """As in the simulator."""
+def test_without_a_stated_failure_its_kind_is_derived_from_the_duration_of_the_call() -> None:
+    """The simulator states no kind."""
     driver = Driver(settings(ask_for_list=True))
     while not any(isinstance(action, Watch) for action in driver.wait(0.05)):
         pass
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -1,6 +1,7 @@
-"""The lease on the list: what it relies on, each broken by a test, and the rule itself over drawn histories.
+"""The lease on the list: each assumption that it makes, and its rule under random histories of discovery.
 
-What was wrong before stands in test_stale_lists.py: evidence of one thing was used as proof of another.
+test_stale_lists.py guards against the failure that led to the lease: something was taken as proof that the
+list was current although it proved something else.
 """
 
 from __future__ import annotations
@@ -27,40 +28,42 @@
 )
 from granitepoint.net.discovery_channel import tell_failure
 
-DRAIN_GRACE, MAX_PROCESS_DELAY = 0.3, 0.15  # s of a drain on sockets; s that a process may stand between clock and write
-HOLD = 25.0
+# s of the grace period of a drain; s that a process may be delayed between reading the clock and sending
+DRAIN_GRACE, MAX_PROCESS_DELAY = 0.3, 0.15
+HOLD = 25.0  # s for which discovery holds a watch
 
 
 def lease_after_list(at: float = 100.0) -> ListLease:
+    """A lease whose list was written and received at `at`."""
     lease = ListLease(NOTIFIED_AFTER)
     lease.on_list(at, at)
     return lease
 
 
-def test_the_lease_and_a_hold_up_of_the_process_fit_into_the_grace() -> None:
+def test_the_lease_and_a_delay_of_the_process_fit_into_the_grace_period() -> None:
     assert lease_after_list().expires_at + MAX_PROCESS_DELAY < 100.0 + NOTIFIED_AFTER + DRAIN_GRACE
-    assert ListLease(NOTIFIED_AFTER).expires_at == -math.inf  # a new process knows of no time
+    assert ListLease(NOTIFIED_AFTER).expires_at == -math.inf  # a new process has no proof
     assert ListLease(math.inf).expires_at == math.inf
 
 
 @pytest.mark.parametrize("failure", [Failure.WAITED, Failure.SILENT, Failure.LOCAL_ERROR, Failure.IMMEDIATE])
-def test_what_is_no_proof_moves_nothing(failure: Failure) -> None:
+def test_a_failure_that_proves_nothing_does_not_extend_the_lease(failure: Failure) -> None:
     lease = lease_after_list()
     for started_at in (101.0, 103.0, 105.0):
         lease.on_failure(failure, started_at, started_at + 1.0)
     assert lease.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
-def test_a_refused_connection_is_proof_as_of_when_the_call_began() -> None:
-    """Discovery may have come up between the refusal and the moment at which it was read."""
+def test_a_refused_connection_is_proof_up_to_the_start_of_the_call() -> None:
+    """Discovery may have started between the refusal and the moment at which it was noticed."""
     lease = lease_after_list()
     lease.on_failure(Failure.REFUSED, 104.0, 104.9)
     assert lease.expires_at == 104.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
-def test_a_call_turned_away_at_once_proves_nothing_even_where_discovery_was_seen_to_go_down() -> None:
-    """It may be back, tell others, and turn this one away. A crowded one did so: 48 of 100 proxies
-    got a 503 within 0.01 s on their first call."""
+def test_a_call_that_is_rejected_at_once_proves_nothing_even_after_the_watch_was_lost() -> None:
+    """Discovery may be back and tell others of changes while it rejects this call. An overloaded one did so:
+    48 of 100 proxies got a 503 within 0.01 s on their first call."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
     lease.on_failure(Failure.WATCH_LOST, 100.0, 110.0)
@@ -68,8 +71,9 @@
     assert lease.expires_at == 110.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
-def test_a_lease_that_has_ended_comes_back_with_a_list_alone() -> None:
-    """What counted as told while calls waited does not become untold when discovery goes away."""
+def test_only_a_list_renews_a_lease_that_has_ended() -> None:
+    """Changes of which the proxy counted as notified while its calls were queued still count after discovery
+    went down."""
     lease = lease_after_list()
     lease.on_failure(Failure.WAITED, 101.0, 103.0)
     lease.on_failure(Failure.REFUSED, 106.5, 106.5)
@@ -79,8 +83,8 @@
     assert not new_process.valid(100.0)
 
 
-def test_a_watch_counts_only_where_it_goes_on_with_one_that_was_answered() -> None:
-    """Another call may wait its turn, and what changes meanwhile is told to nobody."""
+def test_a_watch_extends_the_lease_only_if_it_continues_one_that_was_answered() -> None:
+    """Any other call may be queued, and the changes during that time are missed."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0 + MAX_WATCH_GAP + 0.01, HOLD)
     assert lease.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
@@ -88,7 +92,7 @@
     assert lease.expires_at == 100.0 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
 
 
-def test_a_watch_that_falls_silent_is_trusted_no_longer_than_what_it_misses_goes_untold() -> None:
+def test_a_silent_watch_extends_the_lease_only_until_changes_that_it_missed_count_as_known() -> None:
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
     lease.on_silence(118.0)
@@ -97,8 +101,8 @@
     assert lease.valid(119.0) and not lease.valid(124.2)
 
 
-def test_a_watch_cut_soon_after_it_began_proves_nothing_for_its_time() -> None:
-    """It may have waited its turn to tell of a change."""
+def test_a_watch_that_is_cut_soon_after_its_start_proves_nothing() -> None:
+    """A change to tell may have been queued."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
     lease.on_failure(Failure.WATCH_CUT, 100.0, 101.0)
@@ -112,13 +116,13 @@
     assert lease.expires_at == 100.0 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
 
 
-def test_after_a_move_a_list_is_used_until_what_the_new_address_has_counts_as_told() -> None:
-    """Servers that had left got requests for up to 20 s: health checks alone told who left."""
+def test_after_a_move_the_old_list_is_used_until_the_changes_at_the_new_address_count_as_known() -> None:
+    """Servers that had left the list got requests for up to 20 s when only health checks showed who left."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
     lease.on_move(110.0)
     assert lease.expires_at == 110.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
-    for failure in Failure:  # nothing but a list of the new address is proof of what it has
+    for failure in Failure:  # only a list from the new address is proof
         lease.on_failure(failure, 111.0, 113.0)
     assert lease.expires_at == 110.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
     lease.on_list(113.5, 113.9)
@@ -126,7 +130,7 @@
     assert lease.expires_at == 113.9 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
 
 
-def test_moves_in_a_row_give_no_more_time_and_bring_back_no_lease_that_has_ended() -> None:
+def test_repeated_moves_neither_extend_the_time_nor_renew_a_lease_that_has_ended() -> None:
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
     for at in (101.0, 103.0, 104.9):
@@ -136,12 +140,14 @@
     ended_lease.on_move(107.0)
     assert not ended_lease.valid(107.0)
     moved_without_watch = lease_after_list()
-    moved_without_watch.on_move(104.0)  # without a watch, what went untold before the move counts as told when it did
+    moved_without_watch.on_move(
+        104.0
+    )  # without a watch, changes missed before the move count as known at the same time as without a move
     assert moved_without_watch.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
-def test_a_list_of_the_new_address_covers_what_it_had_then_and_no_more() -> None:
-    """What comes after that counts as told with all else of that address, unless a watch tells it."""
+def test_a_list_from_the_new_address_proves_nothing_about_later_changes() -> None:
+    """Later changes count as known together with everything else at that address, unless a watch is open."""
     lease = lease_after_list()
     lease.on_move(101.0)
     lease.on_list(101.5, 101.6)
@@ -154,7 +160,7 @@
     assert lease.expires_at == 105.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
-def test_where_lists_are_pushed_a_move_leaves_its_time_too() -> None:
+def test_with_pushed_lists_the_old_list_is_used_for_the_same_time_after_a_move() -> None:
     lease = ListLease(notified_after=0.0)
     lease.on_list(100.0, 100.0)
     lease.on_watch_opened(100.0, HOLD)
@@ -163,7 +169,7 @@
     assert lease.expires_at == 105.0 + NOTIFIED_AFTER_MOVE + GRACE_MARGIN
 
 
-def test_pushed_lists_are_used_while_the_watch_goes_on_and_not_a_moment_beyond() -> None:
+def test_pushed_lists_are_used_only_while_the_watch_is_open() -> None:
     lease = ListLease(notified_after=0.0)
     lease.on_list(100.0, 100.0)
     lease.on_watch_opened(100.0, HOLD)
@@ -190,15 +196,15 @@
         (ValueError("malformed"), True, 3.5, False, Failure.WAITED),
     ],
 )
-def test_what_the_end_of_a_call_is_evidence_of(
+def test_failed_calls_are_classified_by_what_they_prove(
     error: Exception, asked: bool, waited: float, continued: bool, failure: Failure
 ) -> None:
     assert tell_failure(error, asked, waited, continued) is failure
 
 
-def test_a_watch_whose_answer_before_had_not_waited_was_held_sooner() -> None:
-    """On a day of 60 proxies 24 watches that ended after 2 to 3 s were taken for calls in turn: their lists
-    ran out 3 s early. A call in turn has failed by then, also where its end is seen half a second late."""
+def test_after_an_answer_that_was_not_queued_a_watch_counts_as_held_sooner() -> None:
+    """With 60 proxies, 24 watches that ended after 2 to 3 s were mistaken for queued calls, and their leases
+    ended 3 s early. A queued call has failed by then, even if its end is noticed half a second late."""
     waits = (1.0, 2.0, 2.4, 2.6, 2.9, 3.1)
     after_short_queue = [classify(waited, continued=True, short_queue=True) for waited in waits]
     assert after_short_queue == [Failure.WATCH_CUT] + [Failure.WAITED] * 2 + [Failure.WATCH_LOST] * 3
@@ -208,13 +214,14 @@
 
 
 def asking_driver(**changes: object) -> Driver:
+    """An instance that requests its list, and has received none yet."""
     setup = settings(
         ask_for_list=True, notified_after=NOTIFIED_AFTER, may_advise_wait=True, max_wait_advice=2.0, **changes
     )
     return Driver(setup, servers=entries(1, 2))
 
 
-def test_without_a_lease_a_request_waits_for_a_part_of_its_time_and_is_refused_with_advice() -> None:
+def test_without_a_lease_a_request_waits_for_a_part_of_its_time_and_is_refused_with_retry_after() -> None:
     driver = asking_driver()
     assert sends(driver.arrive(1)) == []
     assert not any(isinstance(action, Refuse) for action in driver.wait(0.7))
@@ -222,13 +229,13 @@
     assert refusal.retry_after > 0
 
 
-def test_a_request_that_waits_is_sent_once_a_list_comes() -> None:
+def test_a_waiting_request_is_sent_once_a_list_arrives() -> None:
     driver = asking_driver()
     driver.arrive(1)
     assert [send.call for send in sends(driver.feed(ServerList(ListKind.INCREMENTAL)))] == [1]
 
 
-def test_where_no_list_can_come_in_time_a_request_is_refused_at_once() -> None:
+def test_a_request_is_refused_at_once_if_no_list_can_arrive_in_time() -> None:
     driver = asking_driver()
     driver.wait(1.0)
     driver.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
@@ -236,7 +243,7 @@
     assert any(isinstance(action, Refuse) for action in driver.arrive(1, budget=1.0))
 
 
-def test_a_call_that_may_have_run_is_not_refused_for_want_of_a_list() -> None:
+def test_a_call_that_may_have_been_executed_is_not_refused_for_lack_of_a_list() -> None:
     driver = asking_driver()
     driver.feed(ServerList(ListKind.INCREMENTAL))
     driver.arrive(1, "once")
@@ -244,19 +251,25 @@
     assert not any(isinstance(action, Refuse) for action in actions)
 
 
-# -- the rule over drawn histories ----------------------------------------------------------------------
-# The last two: it tells others, and lets this one wait in vain, or turns it away at once.
+# -- the rule under random histories --------------------------------------------------------------------
+# What discovery does. In the last two modes it answers other proxies, while it queues the calls of this one
+# until they fail, or rejects them at once.
 MODES = ["answering", "refusing", "failing at once", "failing late", "silent", "crowded", "shedding"]
+# Calls are queued, rejected or not answered: the lease may end.
 HINDERING_MODES = ("failing at once", "failing late", "silent", "crowded", "shedding")
 UNREACHABLE_MODES = ("refusing",)
-TIME_STEP = 0.05
-QUEUE_TIME = 2.0  # s that a call waits before it fails
-SILENCE_TIMEOUT = 6.0  # s after which a silent call is given up
-WATCH_RENEWAL_TIME = 18.0  # s after which a watch is asked anew
+TIME_STEP = 0.05  # s
+QUEUE_TIME = 2.0  # s that a call is queued before it fails
+SILENCE_TIMEOUT = 6.0  # s after which a call without an answer is abandoned
+WATCH_RENEWAL_TIME = 18.0  # s after which discovery answers a watch without changes
 
 
 class History:
-    """Discovery in one mode after another, changes of the list at drawn times, and one instance."""
+    """Discovery passes through a sequence of modes and the list changes at random times, for one instance.
+
+    `modes`: pairs of a mode and its duration. `changes`: the times of the changes. `restart`: when the
+    instance is restarted. Times are in seconds; the instance's own clock is 100 s ahead.
+    """
 
     def __init__(self, modes: Sequence[tuple[str, float]], changes: Sequence[float], restart: float) -> None:
         self.modes, self.changes, self.restart = modes, sorted(changes), restart
@@ -268,14 +281,18 @@
         return f"History({self.modes}, {self.changes}, {self.restart})"
 
     def start_instance(self, now: float, received_changes: int) -> None:
+        """Starts the instance anew with the list that has the first `received_changes` changes."""
         self.driver = asking_driver()
         self.driver.now = now
         self.driver.timers = [(now, token) for _, token in self.driver.timers]
-        self.received_changes = received_changes  # changes that it has been told of
-        self.hindered = True  # until its first list: a call waited, was turned away, or heard nothing
-        self.call: tuple[float, str, bool] | None = None  # begun, mode at its begin, whether it is a watch
+        self.received_changes = received_changes  # how many changes its list has
+        self.hindered = (
+            True  # since the last list a call was queued, rejected or not answered; or there has been none
+        )
+        self.call: tuple[float, str, bool] | None = None  # start, mode at the start, whether it is a watch
 
     def mode_at(self, t: float) -> str:
+        """The mode of discovery at a time."""
         for mode, duration in self.modes:
             if t < duration:
                 return mode
@@ -283,7 +300,8 @@
         return "answering"
 
     def notified_at(self, change: float) -> float:
-        """Six seconds on end in which discovery had it and could be reached."""
+        """When the instance counts as notified of a change: discovery had it and could be reached for
+        NOTIFIED_AFTER without interruption."""
         since, t = change, change
         while t < self.end + 20.0:
             if self.mode_at(t) in UNREACHABLE_MODES:
@@ -294,9 +312,11 @@
         return math.inf
 
     def changes_until(self, t: float) -> int:
+        """The number of changes up to a time."""
         return sum(change <= t for change in self.changes)
 
     def run(self) -> None:
+        """Plays the history. Raises AssertionError where the lease is valid too long or ends without need."""
         notified_times = [self.notified_at(change) for change in self.changes]
         for step in range(int(self.end / TIME_STEP)):
             t = step * TIME_STEP
@@ -309,10 +329,15 @@
             self._continue_call(t)
             usable = self.driver.balancer.list_lease.valid(100.0 + t)
             missed_changes = [at for at in notified_times[self.received_changes :] if at + DRAIN_GRACE < t]
-            assert not (missed_changes and usable), f"sent at {t} by a list that missed what was told at {missed_changes}"
-            assert usable or self.hindered, f"refused at {t} with neither a wait nor silence"
+            assert not (
+                missed_changes and usable
+            ), f"may send at {t} by a list that lacks changes known since {missed_changes}"
+            assert (
+                usable or self.hindered
+            ), f"the lease ended at {t} although no call was queued, rejected or without an answer"
 
     def restart_due(self, t: float) -> bool:
+        """Whether the instance has to be restarted now; True only once."""
         due = not self.restarted and t >= self.restart
         self.restarted = self.restarted or due
         return due
@@ -358,12 +383,14 @@
         self.hindered = False
         started_at = 100.0 + t
         self.call = t, "answering", True
-        self.driver.feed(ServerList(ListKind.INCREMENTAL, written_after=started_at), WatchOpened(started_at, HOLD))
+        self.driver.feed(
+            ServerList(ListKind.INCREMENTAL, written_after=started_at), WatchOpened(started_at, HOLD)
+        )
 
 
 @st.composite
 def histories(draw: st.DrawFn) -> History:
-    """Changes lie where the modes change, give or take some seconds."""
+    """Random histories. The changes lie within some seconds of the changes of the mode."""
     duration = st.sampled_from([0.1, 0.3, 0.7, 1.5, 3.0, 7.0, 12.0, 20.0])
     drawn = draw(st.lists(st.tuples(st.sampled_from(MODES), duration), min_size=1, max_size=5))
     modes = [("answering", draw(st.sampled_from([1.0, 6.0]))), *drawn, ("answering", 9.0)]
@@ -373,8 +400,11 @@
 
 
 @given(history=histories())
-@hypothesis_settings(max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-def test_nothing_is_sent_late_and_nothing_refused_without_wait_or_silence(history: History) -> None:
-    """Whatever discovery does: no send later than told and grace, and while since the last list no call has
-    waited, was turned away by a discovery that others reach, or heard nothing, the list may be used."""
+@hypothesis_settings(
+    max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
+def test_the_lease_ends_before_changes_count_as_known_and_never_without_need(history: History) -> None:
+    """Whatever discovery does, nothing is sent by a list later than the grace period after the instance
+    counts as notified of a change that the list lacks. And the list may be used while, since it arrived, no
+    call has been queued, rejected by a discovery that others reach, or left without an answer."""
     history.run()
--- a/tests/test_stale_lists.py
+++ b/tests/test_stale_lists.py
@@ -1,19 +1,19 @@
-"""Servers that leave the list while discovery tells it nothing, and go on serving.
-
-What users saw: requests went to servers up to 0.3 s after the grace behind the moment at which their leaving
-counted as told; they were answered, so no client noticed.
-
-The order of events: discovery was away for 8 s. Each proxy's calls failed, and the pauses between them
-doubled. It returned with a version that named ten servers as gone. Six seconds later that counted as told to
-each proxy, asked or not; three of 15 were still pausing, and went on sending to servers of which ten in ten
-passed their health checks.
-
-The cause: two rules stood on evidence that proves something else. A passed health check proves that a server
-is alive, not that it is listed. A call that failed proves nothing about the time that follows it, so a pause
-after it may not be longer than the list may be used. Neither had an end of its own.
-
-The evidence: each break lies between 6.3 s after the new version and the next call, which was answered within
-0.02 s: discovery was free, nobody asked. The servers at fault had passed their checks up to then.
+"""Servers that leave the list while the proxy gets no list from discovery, and that go on serving.
+
+Guards against this failure: requests went to servers that had left, up to 0.3 s after the end of the grace
+period that follows the moment at which the proxy counts as notified. They were answered, so no client
+noticed.
+
+Discovery was down for 8 s. Each proxy's calls failed, and the pauses between them doubled. Discovery returned
+with a version that named ten servers as gone. Six seconds later each proxy counted as notified, whether it
+had made a call or not. Three of 15 were still in a pause, and went on sending to servers that all passed
+their health checks. Their next calls were answered within 0.02 s, so discovery was not overloaded; the
+proxies just had not called it.
+
+The cause was that two rules took something as proof that proves something else. A passed health check proves
+that a server is alive, but not that it is in the list. A failed call proves nothing about the time after it,
+so the pause after it must not be longer than the list may be used. Neither use of the list had a limit of its
+own.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from granitepoint.faults.discovery import Mode
 from granitepoint.faults.rig import rig
 
-NOTIFIED_AFTER = 6.3  # s after which a change counts as told, with the grace
-CLIENTS = 4
+NOTIFIED_AFTER = 6.3  # s after a change until the proxy counts as notified, including the grace period
+CLIENTS = 4  # concurrent clients
 
 
-def test_a_server_that_left_and_passes_its_health_checks_gets_nothing_once_that_counts_as_told(
+def test_a_removed_server_that_passes_its_health_checks_gets_no_requests_after_the_proxy_counts_as_notified(
     tmp_path: Path,
 ) -> None:
-    """Every call to discovery waits and fails, so it could be reached, from the change on."""
+    """From the change on every call to discovery is queued and fails, so discovery could be reached."""
 
     async def test() -> None:
         async with rig(tmp_path, 1, servers=3) as test_rig:
@@ -52,8 +52,11 @@
     run(test())
 
 
-def test_after_a_move_a_server_that_left_gets_nothing_once_that_counts_as_told(tmp_path: Path) -> None:
-    """Four seconds after SIGHUP; the new address fails each call, and the server passes its checks."""
+def test_after_a_move_a_removed_server_gets_no_requests_after_the_proxy_counts_as_notified(
+    tmp_path: Path,
+) -> None:
+    """That is four seconds after SIGHUP. The new address fails every call, and the server passes its
+    checks."""
 
     async def test() -> None:
         async with rig(tmp_path, 1, servers=3) as test_rig:
--- a/tests/test_unconfirmed_list.py
+++ b/tests/test_unconfirmed_list.py
@@ -1,21 +1,17 @@
 """Servers that drain while discovery answers nobody.
 
-What users saw: a few requests went to servers that had been draining for longer than the grace period,
-only in fleets with many times the usual number of servers.
-
-The order of events: discovery was away for some seconds, and seven in ten of the first tier's proxies
-were restarted. At its return more calls came to it than it could answer, each call waited 2 s in turn,
-failed, and was made again at once, so no call ever came through. Servers began to drain. Six seconds
-after discovery had that, each proxy counted as told, whether it had been answered or not; these had the
-list of before, and went on sending.
-
-The cause: a list was trusted for as long as no newer one came. Nothing bounded its age, although a server
-that drains says so itself, on its health check.
-
-The evidence: the log of each proxy at fault holds nothing but failed calls to discovery (2.0 s each, the
-next one 0.1 s later) from 7 s before the drain until the break, and the break came 0.3 to 0.6 s after
-those 6 s. In a run with each request's lines (3867bda5), probes to servers that drained got 503 from 2 s
-before the list told of it, and not one got 200 after.
+Guards against this failure: some requests went to servers that had been draining for longer than the grace
+period. It was seen only in fleets with many times the usual number of servers.
+
+Discovery was down for some seconds while seven in ten of the first tier's proxies were restarted. When it
+returned, more calls arrived than it could answer. Each call was queued for 2 s, failed, and was repeated 0.1
+s later, so no call succeeded. Then servers began to drain. Six seconds after discovery had that change each
+proxy counted as notified, whether its calls were answered or not; these proxies still had the old list and
+went on sending, and the rule was broken 0.3 to 0.6 s after those 6 s.
+
+The cause was that a list was used for as long as no newer one came, with no limit on its age. Yet a draining
+server fails its own health check: in the recorded run, probes to draining servers got 503 from 2 s before the
+list told of the drain, and none got 200 after that.
 """
 
 from __future__ import annotations
@@ -39,15 +35,15 @@
     serve_ok,
 )
 
-NOTIFIED_AFTER = 6.0  # s after discovery has a change from which it counts as told, answered or not
-DRAIN_GRACE = 0.3  # s from there in which a request may still go out
-OBSERVED_AFTER = 1.0  # s beyond that
-CALLERS = 4  # at once, so that more than one server is used
+NOTIFIED_AFTER = 6.0  # s after discovery has a change a proxy counts as notified, answered or not
+DRAIN_GRACE = 0.3  # s after that in which a request may still be sent
+OBSERVED_AFTER = 1.0  # s after that for which the test goes on
+CALLERS = 4  # concurrent callers, so that more than one server is used
 SERVICE_TIME = 0.02  # s
 
 
 class HealthCheckedBackend(Backend):
-    """Serves whatever comes, also while it drains; its health check answers 503 from then on."""
+    """Serves every request, also while it drains; from then on its health check answers 503."""
 
     def __init__(self) -> None:
         super().__init__(self._serve)
@@ -73,7 +69,7 @@
 
 
 class FailingDiscovery(Discovery):
-    """Answers what was put, and once that is over fails each call."""
+    """Sends the answers that were queued for it, and after them fails every call."""
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -87,7 +83,7 @@
 
 
 class StoppableDiscovery(Discovery):
-    """Told to go away it ends what is open, and nobody listens any more."""
+    """Can be stopped: then it closes all connections and refuses new ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -98,6 +94,7 @@
         await super()._connection(reader, writer)
 
     def stop_listening(self) -> None:
+        """Closes the listener and all connections."""
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
@@ -105,7 +102,7 @@
 
 
 class Traffic:
-    """Callers that ask one thing after another; each request has to be served."""
+    """Concurrent callers that send one request after another; each has to be served."""
 
     def __init__(self, running_proxy: Proxy) -> None:
         self.running_proxy = running_proxy
@@ -113,11 +110,13 @@
         self.requests = count(1)
 
     async def until(self, finished: Callable[[], bool]) -> None:
+        """Runs the callers until `finished` returns True."""
         async with asyncio.TaskGroup() as callers:
             for _ in range(CALLERS):
                 callers.create_task(self._caller(finished))
 
     async def until_time(self, end: float) -> None:
+        """Runs the callers until a time on the clock of the event loop."""
         await self.until(lambda: self.clock() >= end)
 
     async def _caller(self, finished: Callable[[], bool]) -> None:
@@ -127,9 +126,9 @@
             assert answer.code == 200
 
 
-def test_a_server_whose_drain_no_answer_told_of_gets_nothing_once_it_counts_as_told() -> None:
-    """Both servers go on serving; one drains, and discovery is away from just before that. The list may be
-    used for as long as it is; what tells of the drain is the health check."""
+def test_a_draining_server_gets_no_requests_after_the_proxy_counts_as_notified_without_an_answer() -> None:
+    """Both servers go on serving. One begins to drain just after discovery went down. The lease on the list
+    goes on while nobody can reach discovery, so only the health check shows the drain."""
 
     async def test() -> None:
         draining_backend, healthy_backend = HealthCheckedBackend(), HealthCheckedBackend()
@@ -149,8 +148,9 @@
 
 @pytest.mark.parametrize("failure_mode", ["failing", "refusing"])
 def test_a_new_process_sends_nothing_at_all_before_its_first_list(failure_mode: str) -> None:
-    """It has the list of before its start, and no one tells it how old that is. A server that left meanwhile
-    may pass its health checks; before, those that passed were sent to."""
+    """It has the list from before its start, of unknown age. A server that has left the list since then may
+    still pass its health checks; servers that passed them got requests before the lease on the list was
+    introduced."""
 
     async def test() -> None:
         draining_backend, healthy_backend = HealthCheckedBackend(), HealthCheckedBackend()
@@ -167,8 +167,8 @@
     run(test())
 
 
-def test_servers_that_are_well_are_used_however_long_discovery_is_away() -> None:
-    """A discovery that nobody can reach is no reason to refuse, nor to crowd one of them."""
+def test_healthy_servers_are_used_however_long_discovery_is_down() -> None:
+    """If nobody can reach discovery, requests are neither refused nor all sent to one server."""
 
     async def test() -> None:
         one, other = HealthCheckedBackend(), HealthCheckedBackend()
