--- a/granitepoint/admission.py
+++ b/granitepoint/admission.py
@@ -20,9 +20,8 @@
 MIN_SAMPLES = 10  # calls; with fewer in the latency or the recent utilities nothing is refused
 MAX_RECENT_UTILITIES = 300  # the utility threshold then has an error of about 3 percentage points
 MAX_RECENT_BUDGETS = 64  # time budgets of a class that are kept for their median
-TARGET_FRACTION = (
-    0.35  # of the latency objective: what all but OVER_TARGET_FRACTION of the answers should take
-)
+# Of the latency objective: the time in which all but OVER_TARGET_FRACTION of the answers should come.
+TARGET_FRACTION = 0.35
 # Of the concurrency limit: up to here no call is refused for its utility, and beyond it the limit may grow.
 UNRESTRICTED_FRACTION = 0.8
 OVER_TARGET_FRACTION = 0.2  # of the answers: the fraction over the target at which the limit does not move
@@ -35,10 +34,9 @@
 UNLOADED_MEAN_SAMPLES = 200
 UNLOADED_RISE_TIME = 60.0  # s in which the unloaded latency follows a lasting increase
 MAX_TARGET_FRACTION = 0.9  # of the latency objective: the maximum and the initial value of the target
-MIN_CONCURRENCY_LIMIT = 2.0  # calls; from a lower limit the instance recovers only slowly
-MIN_CALLS_PER_SERVER = (
-    2.0  # calls per server of the first tier, shared by the instances if there are more of them
-)
+MIN_CONCURRENCY_LIMIT = 2.0  # calls; a lower limit does not recover well
+# Calls per server, divided among the instances of the first tier where these outnumber the servers.
+MIN_CALLS_PER_SERVER = 2.0
 MAX_STEP_FRACTION = 0.3  # of the concurrency limit: the maximum change for one call
 INITIAL_CONCURRENCY_LIMIT = 4.0  # calls
 # Added per stage to the factor on the supported throughput: a refusal loses the work done in the tiers above.
--- a/granitepoint/membership/backoff.py
+++ b/granitepoint/membership/backoff.py
@@ -86,7 +86,7 @@
         return min(self.max_pause, max(DEFAULT_MAX_ROUND_LENGTH, time_for_all))
 
     def succeeded(self, service_time: float | None = None) -> None:
-        """Ends the row of failures.
+        """Resets the number of failures and the rounds.
 
         `service_time`: how long the answer took, without the time that the service was asked to hold the
         call; None: unknown.
--- a/granitepoint/membership/evidence.py
+++ b/granitepoint/membership/evidence.py
@@ -1,9 +1,9 @@
 """Classifies how a call to discovery failed, by what the failure proves.
 
-The question for each kind is: could discovery have told a change to some instance at that moment? With a list
-it could. With a refused connection it could not, since nobody listened. A 503 proves nothing, however soon it
-came: an overloaded discovery rejects some calls at once while it answers others, and one that queues its
-calls sends the same 503 after the wait.
+The question for each kind is: could discovery have told a change to some instance at that moment? A list
+settles the question, and so does a refused connection: nobody listened. A 503 does not, however soon it came:
+an overloaded discovery rejects some calls at once while it answers others, and one that queues its calls
+sends the same 503 after the wait.
 """
 
 from __future__ import annotations
@@ -13,9 +13,8 @@
 IMMEDIATE_FAILURE_TIME = 0.25  # s; a call that failed within it has not been queued
 MIN_QUEUE_TIME = 1.5  # s; a call that failed sooner was not rejected for having been queued for too long
 MAX_QUEUE_TIME = 3.0  # s; a call that was open for longer was no longer queued: discovery held it as a watch
-MAX_SHORT_QUEUE_TIME = (
-    2.5  # s; the same if the previous answer was not queued, so that the queue is nearly empty
-)
+# s; the same if the previous answer was not queued, so that the queue is nearly empty.
+MAX_SHORT_QUEUE_TIME = 2.5
 
 
 class Failure(Enum):
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -42,7 +42,7 @@
 
 
 def call_starts(backoff: Backoff, count: int, waited: float = 2.0) -> list[float]:
-    """The start times, in s after the loss, of calls that are all queued and fail. The first starts at the
+    """The start times, in s after the loss, of calls that are queued and fail; the first starts at the
     loss."""
     now, results = 0.0, [0.0]
     for _ in range(count):
@@ -52,8 +52,7 @@
 
 
 def test_the_pause_after_queued_calls_grows_to_the_maximum_if_the_service_time_is_unknown() -> None:
-    """This prevents congestion collapse: calls may arrive faster than a service of any speed can answer
-    them."""
+    """Prevents congestion collapse: calls may arrive faster than a service of any speed can answer them."""
     results = pauses(Failure.WAITED, 2000)
     assert results[1 : CONSTANT_ROUNDS + 1] == pytest.approx([MIN_ROUND_LENGTH] * CONSTANT_ROUNDS)
     assert results[CONSTANT_ROUNDS + 2] > MIN_ROUND_LENGTH and results[-1] == pytest.approx(MAX_PAUSE)
@@ -67,8 +66,7 @@
 def test_after_a_long_outage_the_next_call_is_made_as_soon_as_discovery_can_answer_all(
     instances: int, service_time: float, maximum: float
 ) -> None:
-    """However often calls failed, the service may only have been down: all instances need an answer soon
-    after."""
+    """Whatever the number of failures, the service may only have been down, and all need an answer soon."""
     backoff = Backoff(MaximumRandom(), instances=instances)
     backoff.succeeded(2.0)  # the call was queued, so the time is only an upper bound
     backoff.succeeded(service_time)
@@ -83,8 +81,7 @@
 
 @pytest.mark.parametrize("instances", [20, 60, 200, 880])
 def test_failing_calls_arrive_evenly_for_any_number_of_instances_and_at_any_moment(instances: int) -> None:
-    """Pauses that were random for each instance left gaps: in some seconds after the return there was no
-    call."""
+    """Without a fixed phase the instances did not stay evenly spread, and in some seconds nobody called."""
     starts: list[float] = []
     for number in range(instances):
         phase = number * 0.6180339887498949 % 1.0
@@ -109,8 +106,7 @@
 
 
 def test_a_pause_after_a_proof_is_shorter_than_the_lease_that_the_proof_gives() -> None:
-    """A pause of up to 10 s after a refused call was longer than the 6 s after which the proxy counts as
-    notified of a change."""
+    """A pause of up to 10 s after a refused call outlasted the 6 s until a proxy counts as notified."""
     for failure in (Failure.REFUSED, Failure.IMMEDIATE, Failure.WATCH_LOST, Failure.WATCH_CUT):
         assert max(pauses(failure, 100)) <= NOTIFIED_AFTER - 2.0  # s that the next call may be queued
 
@@ -136,8 +132,8 @@
 def test_an_instance_waits_longer_after_each_failure_but_no_longer_than_its_bound(
     must_ask_within: float, maximum: float
 ) -> None:
-    """An instance counts as notified if it makes no call for four times `must_ask_within` after a failed
-    one."""
+    """After a failed call an instance may go without another one for four times `must_ask_within`: from then
+    on it counts as notified."""
     driver = Driver(settings(ask_for_list=True, must_ask_within=must_ask_within))
     driver.wait(3.0)
     waits = []
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -140,9 +140,8 @@
     ended_lease.on_move(107.0)
     assert not ended_lease.valid(107.0)
     moved_without_watch = lease_after_list()
-    moved_without_watch.on_move(
-        104.0
-    )  # without a watch, changes missed before the move count as known at the same time as without a move
+    # Without a watch, changes missed before the move count as known as early as without the move.
+    moved_without_watch.on_move(104.0)
     assert moved_without_watch.expires_at == 100.0 + NOTIFIED_AFTER + GRACE_MARGIN
 
 
@@ -215,10 +214,10 @@
 
 def asking_driver(**changes: object) -> Driver:
     """An instance that requests its list, and has received none yet."""
-    setup = settings(
+    driver_settings = settings(
         ask_for_list=True, notified_after=NOTIFIED_AFTER, may_advise_wait=True, max_wait_advice=2.0, **changes
     )
-    return Driver(setup, servers=entries(1, 2))
+    return Driver(driver_settings, servers=entries(1, 2))
 
 
 def test_without_a_lease_a_request_waits_for_a_part_of_its_time_and_is_refused_with_retry_after() -> None:
@@ -286,68 +285,69 @@
         self.driver.now = now
         self.driver.timers = [(now, token) for _, token in self.driver.timers]
         self.received_changes = received_changes  # how many changes its list has
-        self.hindered = (
-            True  # since the last list a call was queued, rejected or not answered; or there has been none
-        )
+        # Whether a call was queued, rejected or not answered since the last list, or there has been no list.
+        self.hindered = True
         self.call: tuple[float, str, bool] | None = None  # start, mode at the start, whether it is a watch
 
-    def mode_at(self, t: float) -> str:
+    def mode_at(self, moment: float) -> str:
         """The mode of discovery at a time."""
         for mode, duration in self.modes:
-            if t < duration:
+            if moment < duration:
                 return mode
-            t -= duration
+            moment -= duration
         return "answering"
 
     def notified_at(self, change: float) -> float:
         """When the instance counts as notified of a change: discovery had it and could be reached for
         NOTIFIED_AFTER without interruption."""
-        since, t = change, change
-        while t < self.end + 20.0:
-            if self.mode_at(t) in UNREACHABLE_MODES:
-                since = t + TIME_STEP
-            elif t - since >= NOTIFIED_AFTER:
-                return t
-            t += TIME_STEP
+        since, moment = change, change
+        while moment < self.end + 20.0:
+            if self.mode_at(moment) in UNREACHABLE_MODES:
+                since = moment + TIME_STEP
+            elif moment - since >= NOTIFIED_AFTER:
+                return moment
+            moment += TIME_STEP
         return math.inf
 
-    def changes_until(self, t: float) -> int:
+    def changes_until(self, moment: float) -> int:
         """The number of changes up to a time."""
-        return sum(change <= t for change in self.changes)
+        return sum(change <= moment for change in self.changes)
 
     def run(self) -> None:
         """Plays the history. Raises AssertionError where the lease is valid too long or ends without need."""
         notified_times = [self.notified_at(change) for change in self.changes]
         for step in range(int(self.end / TIME_STEP)):
-            t = step * TIME_STEP
-            if self.restart_due(t):
-                self.start_instance(100.0 + t, min(self.received_changes, self.changes_until(t)))
-            for action in self.driver.wait(100.0 + t - self.driver.now):
+            moment = step * TIME_STEP
+            if self.restart_due(moment):
+                self.start_instance(100.0 + moment, min(self.received_changes, self.changes_until(moment)))
+            for action in self.driver.wait(100.0 + moment - self.driver.now):
                 if isinstance(action, Watch) and self.call is None:
-                    self.call = t, self.mode_at(t), False
-            self.hindered = self.hindered or self.mode_at(t) in HINDERING_MODES
-            self._continue_call(t)
-            usable = self.driver.balancer.list_lease.valid(100.0 + t)
-            missed_changes = [at for at in notified_times[self.received_changes :] if at + DRAIN_GRACE < t]
+                    self.call = moment, self.mode_at(moment), False
+            self.hindered = self.hindered or self.mode_at(moment) in HINDERING_MODES
+            self._continue_call(moment)
+            usable = self.driver.balancer.list_lease.valid(100.0 + moment)
+            missed_changes = [
+                at for at in notified_times[self.received_changes :] if at + DRAIN_GRACE < moment
+            ]
             assert not (
                 missed_changes and usable
-            ), f"may send at {t} by a list that lacks changes known since {missed_changes}"
+            ), f"may send at {moment} by a list that lacks changes known since {missed_changes}"
             assert (
                 usable or self.hindered
-            ), f"the lease ended at {t} although no call was queued, rejected or without an answer"
+            ), f"the lease ended at {moment} although no call was queued, rejected or without an answer"
 
-    def restart_due(self, t: float) -> bool:
+    def restart_due(self, moment: float) -> bool:
         """Whether the instance has to be restarted now; True only once."""
-        due = not self.restarted and t >= self.restart
+        due = not self.restarted and moment >= self.restart
         self.restarted = self.restarted or due
         return due
 
-    def _continue_call(self, t: float) -> None:
+    def _continue_call(self, moment: float) -> None:
         if self.call is None:
             return
         started_at, initial_mode, watch = self.call
-        mode, now = self.mode_at(t), 100.0 + t
-        waited = t - started_at
+        mode, now = self.mode_at(moment), 100.0 + moment
+        waited = moment - started_at
         if initial_mode == "silent" or (watch and mode == "silent"):
             self.call = (started_at, "silent", watch)
             self.hindered = True
@@ -357,8 +357,8 @@
             if mode in ("refusing", "failing at once", "failing late"):
                 self.hindered = self.hindered or MIN_QUEUE_TIME <= waited <= MAX_QUEUE_TIME
                 self._fail(classify(waited, continued=True), started_at, now)
-            elif self.changes_until(t) > self.received_changes or waited >= WATCH_RENEWAL_TIME:
-                self._receive_list(t)
+            elif self.changes_until(moment) > self.received_changes or waited >= WATCH_RENEWAL_TIME:
+                self._receive_list(moment)
         elif initial_mode == "refusing":
             self._fail(Failure.REFUSED, started_at, now)
         elif initial_mode in ("failing at once", "shedding"):
@@ -368,7 +368,7 @@
             if waited >= QUEUE_TIME:
                 self._fail(Failure.WAITED, started_at, now)
         else:
-            self._receive_list(t)
+            self._receive_list(moment)
 
     def _fail(self, failure: Failure, started_at: float, now: float) -> None:
         self.call = None
@@ -378,11 +378,11 @@
             ServerList(ListKind.FAILED, failure=failure),
         )
 
-    def _receive_list(self, t: float) -> None:
-        self.received_changes = self.changes_until(t)
+    def _receive_list(self, moment: float) -> None:
+        self.received_changes = self.changes_until(moment)
         self.hindered = False
-        started_at = 100.0 + t
-        self.call = t, "answering", True
+        started_at = 100.0 + moment
+        self.call = moment, "answering", True
         self.driver.feed(
             ServerList(ListKind.INCREMENTAL, written_after=started_at), WatchOpened(started_at, HOLD)
         )
--- a/tests/test_stale_lists.py
+++ b/tests/test_stale_lists.py
@@ -55,8 +55,7 @@
 def test_after_a_move_a_removed_server_gets_no_requests_after_the_proxy_counts_as_notified(
     tmp_path: Path,
 ) -> None:
-    """That is four seconds after SIGHUP. The new address fails every call, and the server passes its
-    checks."""
+    """That is 4 s after SIGHUP. The new address fails every call, and the server passes its checks."""
 
     async def test() -> None:
         async with rig(tmp_path, 1, servers=3) as test_rig:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -19,9 +19,7 @@
 from granitepoint.membership.start_times import MAX_NEW_START_AGE, StartTimes
 from granitepoint.net.listing import read_listing
 
-OTHER_CLOCK = (
-    1.7e9  # s that the clock of the lists is ahead of the instance's clock; the instance does not know it
-)
+OTHER_CLOCK = 1.7e9  # s that the clock of the lists is ahead of the instance's clock, unknown to the instance
 
 
 @pytest.mark.skipif(compiler() is None, reason="needs a C compiler")
@@ -75,8 +73,8 @@
 
 @pytest.mark.parametrize("clock_step", [3600.0, -3600.0, 8.0])
 def test_if_one_server_has_another_clock_starts_in_later_lists_do_not_seem_older(clock_step: float) -> None:
-    """All machines should have the same clock. If not, a start that is new in a list is placed at the
-    present."""
+    """StartTimes assumes one clock for all machines. Otherwise a start that is new in a list counts as
+    now."""
     starts = StartTimes()
     starts.to_local_times({"a": OTHER_CLOCK + 100.0}, 100.0)
     starts.to_local_times({"odd": OTHER_CLOCK + 110.0 + clock_step}, 110.0)
--- a/tests/test_unconfirmed_list.py
+++ b/tests/test_unconfirmed_list.py
@@ -171,14 +171,14 @@
     """If nobody can reach discovery, requests are neither refused nor all sent to one server."""
 
     async def test() -> None:
-        one, other = HealthCheckedBackend(), HealthCheckedBackend()
+        first_backend, second_backend = HealthCheckedBackend(), HealthCheckedBackend()
         discovery = StoppableDiscovery()
         await discovery.start()
-        async with proxy({"s-1": one, "s-2": other}, discovery) as running_proxy:
+        async with proxy({"s-1": first_backend, "s-2": second_backend}, discovery) as running_proxy:
             traffic = Traffic(running_proxy)
             discovery.stop_listening()
             end = traffic.clock() + NOTIFIED_AFTER + OBSERVED_AFTER
             await traffic.until_time(end)
-            assert min(one.last_call_at, other.last_call_at) > end - OBSERVED_AFTER
+            assert min(first_backend.last_call_at, second_backend.last_call_at) > end - OBSERVED_AFTER
 
     run(test())
