--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -69,7 +69,7 @@
 
 
 def _request_class(cls: RequestClass, settings: Settings) -> Section:
-    class_state = admission.Kind(cls, settings.stage)
+    class_state = admission.ClassState(cls, settings.stage)
     answered_by = max(0.0, cls.deadline - driver.MIN_ANSWER_MARGIN)
     held_until = max(0.0, answered_by - driver.BALANCER_MARGIN - logic.ANSWER_MARGIN)
     refusable_always = cls.effect is Effect.REPEATABLE or (cls.effect is Effect.BY_KEY and cls.group == "all")
@@ -88,12 +88,15 @@
         ),
         Entry(
             "target from",
-            _rounded(class_state.least_target),
+            _rounded(class_state.min_target_latency),
             SECONDS,
             "slower answers lower the concurrency limit",
         ),
         Entry(
-            "target to", _rounded(class_state.target), SECONDS, "the target at the start; later it is learned"
+            "target to",
+            _rounded(class_state.target_latency),
+            SECONDS,
+            "the target at the start; later it is learned",
         ),
         Entry("attempts", settings.max_attempts, "attempts", "at most; the proxy sends one at a time"),
         Entry("repeats", cls.effect.value, "", _repeats(cls)),
@@ -175,20 +178,22 @@
         first_watch = min(
             logic.MAX_START_DELAY, logic.START_DELAY_PER_INSTANCE * instances, settings.must_ask_within / 4
         )
-        longest_pause = min(backoff.LONGEST_PAUSE, logic.WATCH_PAUSE_FACTOR * settings.must_ask_within)
+        longest_pause = min(backoff.MAX_PAUSE, logic.WATCH_PAUSE_FACTOR * settings.must_ask_within)
         pause_meaning = (
             f"at most, after a call that waited without success; grows with each, up to {longest_pause:g} s"
         )
         entries += [
             Entry("first watch", first_watch, SECONDS, "after the start, at most; at a random time"),
-            Entry("asked again", min(backoff.CROWDED.first, longest_pause), SECONDS, pause_meaning),
+            Entry("asked again", min(backoff.OVERLOADED.first, longest_pause), SECONDS, pause_meaning),
             Entry(
                 "while it is away",
-                backoff.AWAY.longest,
+                backoff.UNREACHABLE.maximum,
                 SECONDS,
                 "at most, while discovery refuses connections",
             ),
-            Entry("list used for", list_lease.TOLD_AFTER, SECONDS, "after the last proof that it is current"),
+            Entry(
+                "list used for", list_lease.NOTIFIED_AFTER, SECONDS, "after the last proof that it is current"
+            ),
             Entry(
                 "doubted",
                 logic.STALE_LIST_INTERVAL,
--- a/granitepoint/cli/schema.py
+++ b/granitepoint/cli/schema.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from granitepoint.interface import MOST_COUNT
+from granitepoint.interface import MAX_COUNT
 
 SECONDS, PER_SECOND, SHARE, POINTS, MEGABYTES, MICROSECONDS = "s", "1/s", "share", "points", "MB", "us"
 
@@ -113,7 +113,7 @@
 
     send_cap: Annotated[
         int,
-        _meta("maximum number of attempts for a request", "attempts", "max_attempts", ge=1, le=MOST_COUNT),
+        _meta("maximum number of attempts for a request", "attempts", "max_attempts", ge=1, le=MAX_COUNT),
     ]
     may_duplicate: Annotated[
         bool, _meta("whether two attempts of a request may run at the same time", attribute="may_duplicate")
@@ -135,7 +135,7 @@
             "requests",
             "most_held",
             ge=0,
-            le=MOST_COUNT,
+            le=MAX_COUNT,
         ),
     ] = 0
     retry_after: Annotated[bool, _meta("whether callers honour Retry-After", attribute="may_advise_wait")] = (
@@ -158,7 +158,7 @@
             "calls_per_connection",
             "HTTP/1.1 allows one",
             ge=1,
-            le=MOST_COUNT,
+            le=MAX_COUNT,
         ),
     ] = 1
     cpu_us_per_s: Annotated[
@@ -291,9 +291,9 @@
 
     grades: Annotated[list[Grade], Meta(min_length=1, description="the classes; their names are unique")]
     me: Annotated[
-        int, _meta("this proxy's number among `balancers`, from 0", attribute="me", ge=0, le=MOST_COUNT)
+        int, _meta("this proxy's number among `balancers`, from 0", attribute="me", ge=0, le=MAX_COUNT)
     ]
-    balancers: Annotated[int, _meta("proxies of this tier", "proxies", "balancers", ge=1, le=MOST_COUNT)]
+    balancers: Annotated[int, _meta("proxies of this tier", "proxies", "balancers", ge=1, le=MAX_COUNT)]
     discovery: Annotated[
         Literal["push", "ask"],
         _meta("push: discovery sends changes unasked; ask: proxies watch for them", attribute="ask_for_list"),
@@ -310,7 +310,7 @@
         float, _meta("shortest time between two batches of events", SECONDS, "quantum", ge=0)
     ] = 0.0
     stage: Annotated[
-        int, _meta("this tier's place in `stages`, from 0", attribute="stage", ge=0, le=MOST_COUNT)
+        int, _meta("this tier's place in `stages`, from 0", attribute="stage", ge=0, le=MAX_COUNT)
     ] = 0
     stages: Annotated[
         list[str], _meta("the tiers; they share the budget of hedged requests", attribute="stages")
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -96,7 +96,7 @@
         return (
             balancer.admission.window,
             balancer.admission.drop(),
-            balancer.counted_in_flight,
+            balancer.busy,
             len(balancer.queue),
         )
 
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -11,24 +11,24 @@
 from random import Random
 
 from granitepoint.admission import (
-    MEMORY,
-    SLACK,
+    AVERAGING_TIME,
+    UNRESTRICTED_FRACTION,
     Admission,
-    Kind,
-    Mean,
+    ClassState,
+    RunningMean,
 )
 from granitepoint.interface import (
     NEVER_RAN,
     Action,
     Arrival,
     Cancel,
-    ClosedAtRest,
     CloseIdle,
     DiscoveryFailed,
     Effect,
     Event,
     Fail,
     Gone,
+    IdleConnectionClosed,
     ListKind,
     Outcome,
     Probe,
@@ -47,8 +47,8 @@
     WatchLost,
     WatchOpened,
 )
-from granitepoint.membership.backoff import LONGEST_PAUSE, Backoff
-from granitepoint.membership.evidence import AT_ONCE, Failure
+from granitepoint.membership.backoff import MAX_PAUSE, Backoff
+from granitepoint.membership.evidence import IMMEDIATE_FAILURE_TIME, Failure
 from granitepoint.membership.health_checks import HealthLeases
 from granitepoint.membership.list_lease import ListLease
 
@@ -170,7 +170,13 @@
     )
 
     def __init__(
-        self, id: int, cls: Kind, utility: float, arrived_at: float, deadline: float, useful_until: float
+        self,
+        id: int,
+        cls: ClassState,
+        utility: float,
+        arrived_at: float,
+        deadline: float,
+        useful_until: float,
     ) -> None:
         """`useful_until`: when an answer loses its utility, at the latest at the deadline."""
         self.id, self.cls, self.utility, self.arrived_at = id, cls, utility, arrived_at
@@ -192,8 +198,10 @@
 
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         self.settings = settings
-        self.list_lease = ListLease(settings.told_after)
-        self.health_leases = HealthLeases(confirmed=not settings.ask_for_list, checkable=settings.may_probe)
+        self.list_lease = ListLease(settings.notified_after)
+        self.health_leases = HealthLeases(
+            confirmed=not settings.ask_for_list, checks_allowed=settings.may_probe
+        )
         self.actions = actions  # sends and answers are appended to it
         self.calls: dict[int, Call] = {}
         self.ended_ids: dict[int, None] = {}  # ids of the latest ended calls, oldest first
@@ -230,10 +238,10 @@
         first = self.first_possible_execution(call)
         if first is None or call.cls.effect is not Effect.BY_KEY:
             return math.inf
-        return first.sent_at + call.cls.window - now
+        return first.sent_at + call.cls.dedup_window - now
 
     @staticmethod
-    def same_group(cls: Kind, attempt: Attempt, server: Server) -> bool:
+    def same_group(cls: ClassState, attempt: Attempt, server: Server) -> bool:
         """Whether a server belongs to the group that drops duplicates of an attempt."""
         if cls.group == "all":
             return True
@@ -363,15 +371,18 @@
         self.random = random
         self.known: dict[int, Server] = {}
         self.pool: list[Server] = []
-        self.mean_load = Mean(1.0)
-        self.zone_load: dict[str, Mean] = {}  # reported calls per unit of weight
-        self.error_share = Mean(0.0)
+        self.mean_load = RunningMean(1.0)
+        self.zone_load: dict[str, RunningMean] = {}  # reported calls per unit of weight
+        self.error_share = RunningMean(0.0)
         self.send_rate = self.peak_rate = 0.0  # attempts per s; their peak per s and unit of weight
         self.pool_weight = 0.0  # weight of the pool, smoothed
         self.mean_latency = 0.1  # s, of a call
         self.latency_objective = max(cls.aim for cls in settings.classes)  # s
         self.max_idle_age = settings.conn_idle  # s without use after which a connection is not relied on
-        self.open_latency, self.new_latency = Mean(1.0), Mean(1.0)  # by connection, in mean latencies
+        self.open_latency, self.new_latency = (
+            RunningMean(1.0),
+            RunningMean(1.0),
+        )  # by connection, in mean latencies
 
     def apply_list(self, event: ServerList, now: float) -> None:
         """Updates the known servers and the pool from a list; a failed one changes nothing."""
@@ -453,7 +464,9 @@
         size = sum(server.weight for server in self.pool)
         multiple = COLD_BUDGET_SHARE * self.settings.fall_multiple
         # Smoothed like the send rate: what went to many servers is no measure of what the few left can serve.
-        self.pool_weight += (size - self.pool_weight) * (min(1.0, span / MEMORY) if self.pool_weight else 1.0)
+        self.pool_weight += (size - self.pool_weight) * (
+            min(1.0, span / AVERAGING_TIME) if self.pool_weight else 1.0
+        )
         # The peak, not the current rate: otherwise few sends would allow even fewer, and a fleet in a rolling
         # restart would stay cold.
         current_rate = self.send_rate / self.pool_weight if self.pool_weight else 0.0
@@ -495,17 +508,17 @@
             load += (server.reported_load - expected) * math.exp((server.reported_at - now) / decay_time)
         return max(load, server.in_flight)
 
-    def record_failure_share(self, server: Server, cls: Kind, failed: bool, now: float) -> None:
+    def record_failure_share(self, server: Server, cls: ClassState, failed: bool, now: float) -> None:
         """Adds the newest answer to the share of a class's calls that a server fails."""
         share = self.failure_share(server, cls, now)
         server.failure_shares[cls.name] = share + (failed - share) * FAILURE_SHARE_WEIGHT, now
 
-    def failure_share(self, server: Server, cls: Kind, now: float) -> float:
+    def failure_share(self, server: Server, cls: ClassState, now: float) -> float:
         """Share of a class's calls that a server fails; it decays while there are no answers."""
         share, at = server.failure_shares.get(cls.name, (0.0, now))
         return share * math.exp((at - now) / FAILURE_SHARE_DECAY_TIME)
 
-    def pool_failure_share(self, cls: Kind, now: float) -> float:
+    def pool_failure_share(self, cls: ClassState, now: float) -> float:
         """Mean failure share of the pool for a class. A server that rejects or fails one kind of request (bad
         version, a limit, its own data store down), at once or slowly, may serve other classes well and so
         look idle and fast: its excess over this mean keeps calls away. What all servers fail counts against
@@ -627,7 +640,7 @@
             return
         server.smoothed_load += (load - server.smoothed_load) * (0.3 if server.reported_at > 0 else 1.0)
         server.reported_load = load
-        zone = self.zone_load.setdefault(server.zone, Mean(0.0))
+        zone = self.zone_load.setdefault(server.zone, RunningMean(0.0))
         zone.add(load / server.weight, ZONE_LOAD_SAMPLES)
         server.reported_at = now
         server.net_sends_since_report = 0
@@ -646,14 +659,14 @@
         self.actions: list[Action] = []
         self.safety_rules = SafetyRules(settings, self.actions)
         self.list_lease, self.health_leases = self.safety_rules.list_lease, self.safety_rules.health_leases
-        self.class_states = {cls.name: Kind(cls, settings.stage) for cls in settings.classes}
+        self.class_states = {cls.name: ClassState(cls, settings.stage) for cls in settings.classes}
         self.admission = Admission(settings.stage, self.random)
         self.servers = Servers(settings, self.random)
         self.quota_per_s = {t.name: t.quota_per_s / settings.balancers for t in settings.tenants}
         self.quota_tokens = {name: quota for name, quota in self.quota_per_s.items()}
         self.queue: list[Call] = []
         self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}
-        self.counted_in_flight = 0  # attempts that count against the concurrency limit
+        self.busy = 0  # attempts that count against the concurrency limit
         self.arrivals_in_step = self.sends_in_step = 0
         self.retry_tokens = RETRY_BURST
         self.hedge_tokens = HEDGE_BURST
@@ -669,7 +682,7 @@
         self.watch_active = not settings.ask_for_list
         self.next_watch_at = -1.0
         self.last_watch_call_at = 0.0  # start of the last watch call, as far as known
-        max_pause = min(LONGEST_PAUSE, WATCH_PAUSE_FACTOR * settings.must_ask_within)
+        max_pause = min(MAX_PAUSE, WATCH_PAUSE_FACTOR * settings.must_ask_within)
         instances = settings.balancers * settings.stages
         phase = (settings.me + settings.stage / settings.stages) * GOLDEN_RATIO_CONJUGATE % 1.0
         self.backoff = Backoff(self.random, max_pause, instances, phase)
@@ -697,12 +710,14 @@
             elif type(event) is WatchLost:
                 self.on_watch_lost(event)
             elif type(event) is WatchOpened:
-                self.list_lease.watching(event.begun, event.hold)
+                self.list_lease.on_watch_opened(event.started_at, event.hold)
             elif type(event) is DiscoveryFailed:
-                self.last_watch_call_at = event.begun
-                self.list_lease.failed(event.failure, event.begun, event.ended, event.beside)
-            elif type(event) is ClosedAtRest:
-                self.servers.lower_max_idle_age(event.rested)
+                self.last_watch_call_at = event.started_at
+                self.list_lease.on_failure(
+                    event.failure, event.started_at, event.ended_at, event.older_call_open
+                )
+            elif type(event) is IdleConnectionClosed:
+                self.servers.lower_max_idle_age(event.idle_for)
             elif type(event) is Gone:
                 self.on_client_gone(event)
             elif type(event) is StreamStarted:
@@ -735,41 +750,43 @@
     # Events
     def on_watch_lost(self, event: WatchLost) -> None:
         """Handles a watch that failed, fell silent or moved: changes may be missed until the next list."""
-        self.health_leases.lose(self.now, event.told_within)
+        self.health_leases.lose_confirmation(self.now, event.notified_within)
         if event.moved:
-            self.list_lease.move(self.now)
+            self.list_lease.on_move(self.now)
         elif event.silent:
-            self.list_lease.silent(self.now)
+            self.list_lease.on_silence(self.now)
 
     def on_server_list(self, event: ServerList) -> None:
         """Applies a list of servers, or schedules the next watch after a failed call to discovery."""
         if event.kind is ListKind.FAILED:
-            self.health_leases.lose(self.now, math.inf)
+            self.health_leases.lose_confirmation(self.now, math.inf)
             self.watch_active = False
             waited = self.now - self.last_watch_call_at
-            failure = event.failure or (Failure.AT_ONCE if waited <= AT_ONCE else Failure.WAITED)
+            failure = event.failure or (
+                Failure.IMMEDIATE if waited <= IMMEDIATE_FAILURE_TIME else Failure.WAITED
+            )
             self.next_watch_at = self.now + self.backoff.failed(failure, self.now)
         else:
             if event.kind is not ListKind.SAVED:
                 self.health_leases.confirm()
                 written_after = self.now if event.written_after is None else event.written_after
-                self.list_lease.listed(written_after, self.now, event.ends_watch)
-                self.backoff.succeeded(event.turn)
+                self.list_lease.on_list(written_after, self.now, event.ends_watch)
+                self.backoff.succeeded(event.service_time)
                 self.last_notified_at, self.recheck_list_at = self.now, math.inf
             self.servers.apply_list(event, self.now)
-            self.admission.set_least(len(self.servers.known), self.settings.balancers)
+            self.admission.set_min_limit(len(self.servers.known), self.settings.balancers)
 
     def on_arrival(self, event: Arrival, new_calls: list[Call]) -> None:
         """Appends the call of a request to `new_calls`; ignores known ids, refuses invalid requests."""
         if event.call in self.safety_rules.calls or event.call in self.safety_rules.ended_ids:
             return
-        cls = self.class_states.get(event.cls)
+        cls = self.class_states.get(event.class_name)
         if cls is None or not 0 < event.budget < math.inf:
             self.safety_rules.refuse_invalid(event.call)
             return
         self.arrivals_in_step += 1
         now = self.now
-        utility = cls.worth
+        utility = cls.utility
         if self.settings.worth_by_work and event.work > 0:
             utility *= event.work
         if self.settings.stage == 0 and event.tenant in self.quota_per_s:
@@ -779,12 +796,12 @@
                 utility *= self.settings.over_share_worth
         # The budget as the client stated it, not what is left of it: a pause of this process is no time that
         # the client has waited over its earlier tries.
-        stated_budget = event.stated if 0 < event.stated < math.inf else event.budget
+        stated_budget = event.stated_timeout if 0 < event.stated_timeout < math.inf else event.budget
         remaining_objective = self.remaining_latency_objective(cls, stated_budget, event.resent)
-        useful_time = event.budget if cls.late_counts else min(event.budget, remaining_objective)
+        useful_time = event.budget if cls.late_answers_count else min(event.budget, remaining_objective)
         call = Call(event.call, cls, utility, now, now + event.budget, now + useful_time)
         self.safety_rules.calls[call.id] = call
-        self.admission.history.append(utility)
+        self.admission.recent_utilities.append(utility)
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
         self.hedge_tokens = min(HEDGE_BURST, self.hedge_tokens + HEDGE_RATIO / self.settings.stages)
         new_calls.append(call)
@@ -793,13 +810,13 @@
         """Enqueues a new call, or refuses it because of its utility or because its useful time is over."""
         # The concurrency limit grows only while it is nearly reached. If calls were refused for their utility
         # below that, the limit could not grow and the utility threshold would keep itself in force.
-        has_slack = self.counted_in_flight + len(self.queue) + 1 <= SLACK * self.admission.window
+        has_slack = self.busy + len(self.queue) + 1 <= UNRESTRICTED_FRACTION * self.admission.window
         if (has_slack or self.admission.admits(call.utility)) and call.useful_until > self.now:
             self.enqueue(call)
         else:
             self.refuse(call)
 
-    def remaining_latency_objective(self, cls: Kind, budget: float, is_retry: bool) -> float:
+    def remaining_latency_objective(self, cls: ClassState, budget: float, is_retry: bool) -> float:
         """Returns how much of the latency objective of a call's class is left, in s.
 
         In an inner tier the stated `budget` (s) is the useful time that the caller's instance had left, so
@@ -810,10 +827,10 @@
         mark has not waited. Cost: a client that forgets the mark gets work that comes too late."""
         is_first_try = self.settings.clients_mark_retries and not is_retry
         # This also records the budget, so it is called for marked first tries too.
-        usual_budget = cls.usual_budget(budget)
+        usual_budget = cls.record_budget(budget)
         if self.settings.stage or is_first_try or budget >= usual_budget - TICK:
-            return cls.aim
-        return cls.aim - (cls.deadline - budget)
+            return cls.latency_objective
+        return cls.latency_objective - (cls.deadline - budget)
 
     def enqueue(self, call: Call) -> None:
         """Inserts a call into the queue, which is ordered by utility, then by arrival."""
@@ -827,7 +844,7 @@
         comes back sooner, into the same overload."""
         if not self.settings.may_advise_wait:
             return 0.0
-        return min(self.settings.max_wait_advice, max(TICK, ADVICE_FACTOR * self.admission.proc))
+        return min(self.settings.max_wait_advice, max(TICK, ADVICE_FACTOR * self.admission.latency_estimate))
 
     def refuse(self, call: Call) -> None:
         """Gives the final answer to a call that is not sent, or not sent again."""
@@ -858,7 +875,7 @@
             attempt.call.streaming = True
             if attempt.has_slot:
                 attempt.has_slot = False
-                self.counted_in_flight -= 1
+                self.busy -= 1
 
     def on_outcome(self, event: Outcome) -> None:
         """Records how an attempt ended, then retries or answers its call if no other attempt is pending."""
@@ -867,16 +884,16 @@
             return
         call, server, cls, now = attempt.call, attempt.server, attempt.call.cls, self.now
         status = event.status
-        in_flight_before = self.counted_in_flight
+        in_flight_before = self.busy
         server.in_flight -= 1
         if status != Status.MOOT:
             server.net_sends_since_report -= 1
         if status == Status.OK:
             server.used_at = now
         if attempt.has_slot:
-            self.counted_in_flight -= 1
-        if event.rested is not None:
-            attempt.idle_time, attempt.opened = event.rested, event.rested <= 0
+            self.busy -= 1
+        if event.idle_for is not None:
+            attempt.idle_time, attempt.opened = event.idle_for, event.idle_for <= 0
         already_ended = call.ended
         self.safety_rules.finish_attempt(attempt, status, event.final)
         self.servers.record_report(server, event.report, now)
@@ -896,7 +913,7 @@
         cost = NEVER_RAN_RETRY_COST if status in NEVER_RAN else 1.0
         if (
             self.safety_rules.may_attempt_again(call)
-            and remaining > cls.mean.value
+            and remaining > cls.mean_latency.value
             and self.retry_tokens >= cost
         ):
             self.retry_tokens -= cost
@@ -936,23 +953,25 @@
         only_connection_failed = connection_broken and (idle_connection_lost or servers.alive(server, now))
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
-            cls.took(elapsed)
+            cls.record_latency(elapsed)
         # An error says nothing about how many calls the servers can hold: most errors come from a tier below,
         # after a reset or a refusal there. When errors counted as overload, one failed call in eight kept the
         # concurrency limit low although the servers were healthy.
-        if ok and elapsed <= cls.target:
-            admission.good(in_flight_before)
+        if ok and elapsed <= cls.target_latency:
+            admission.on_within_target(in_flight_before)
         elif status == Status.FULL and server_at_fault:
             pass  # a fault of this server alone, no overload
         elif connection_broken and attempt.over_target and not attempt.stalled_connection:
-            admission.window += admission.step()  # its age lowered the limit, but the connection was at fault
-        elif status == Status.TIMEOUT and elapsed < cls.target:
+            admission.window += (
+                admission.limit_step()
+            )  # its age lowered the limit, but the connection was at fault
+        elif status == Status.TIMEOUT and elapsed < cls.target_latency:
             pass  # it had less time than an answer may take, so it shows no overload
         elif not attempt.over_target and attempt.has_slot and (ok or status in (Status.TIMEOUT, Status.FULL)):
-            admission.bad()
+            admission.on_over_target()
         # The server's capacity is estimated from its load and the latency, in multiples of the class's mean.
-        relative_latency = elapsed / cls.mean.value
-        if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
+        relative_latency = elapsed / cls.mean_latency.value
+        if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean_latency.value):
             total_latency = min(MAX_LATENCY_RATIO, relative_latency + (not ok))
             (servers.new_latency if attempt.opened else servers.open_latency).add(
                 total_latency, CONNECT_COST_SAMPLES
@@ -1007,7 +1026,7 @@
         for attempt in self.attempts_in_flight.values():
             if attempt.server is server and attempt.has_slot:
                 attempt.has_slot = False
-                self.counted_in_flight -= 1
+                self.busy -= 1
         self.servers.rebuild_pool(self.now)
 
     def on_probe_result(self, event: Probed) -> None:
@@ -1044,23 +1063,25 @@
         self.last_step_at = now
         admission, servers = self.admission, self.servers
         admission.observe_rate(self.arrivals_in_step, interval)
-        servers.send_rate += (self.sends_in_step / interval - servers.send_rate) * min(1.0, interval / MEMORY)
+        servers.send_rate += (self.sends_in_step / interval - servers.send_rate) * min(
+            1.0, interval / AVERAGING_TIME
+        )
         self.arrivals_in_step = self.sends_in_step = 0
         for name, quota in self.quota_per_s.items():
             self.quota_tokens[name] = min(max(1.0, quota), self.quota_tokens[name] + quota * interval)
         for cls in self.class_states.values():
-            cls.learn_base(interval)
+            cls.update_target(interval)
         self.start_watch_if_due()
         self.check_attempt_ages()
-        if admission.latency.count:
-            servers.mean_latency = max(admission.latency.value, 1e-3)
+        if admission.mean_latency.count:
+            servers.mean_latency = max(admission.mean_latency.value, 1e-3)
         servers.refill_slow_start_tokens(now, interval)
         servers.decay_capacity(interval)
         servers.max_idle_age = min(
             self.settings.conn_idle, servers.max_idle_age * (1 + interval / IDLE_DOUBLING)
         )
         self.send_due_probes(interval)
-        admission.set_cut()
+        admission.update_threshold()
 
     def start_watch_if_due(self) -> None:
         """Starts a watch of discovery when none is active, or when the list is suspected to be stale."""
@@ -1088,20 +1109,20 @@
         for attempt in self.attempts_in_flight.values():
             age = now - attempt.sent_at
             cls = attempt.call.cls
-            if age > HEDGE_AGE * cls.mean.value and self.connection_seems_stalled(attempt):
+            if age > HEDGE_AGE * cls.mean_latency.value and self.connection_seems_stalled(attempt):
                 self.mark_connection_stalled(attempt)
             if attempt.has_slot:
                 total_age += age
                 counted_attempts += 1
-                if not attempt.over_target and age > cls.target:
+                if not attempt.over_target and age > cls.target_latency:
                     attempt.over_target = True
-                    self.admission.bad()
-            if age > HEDGE_AGE * cls.mean.value and not attempt.hedged:
+                    self.admission.on_over_target()
+            if age > HEDGE_AGE * cls.mean_latency.value and not attempt.hedged:
                 stuck_attempts.append(attempt)
-        self.admission.age = total_age / counted_attempts if counted_attempts else 0.0
+        self.admission.mean_age_in_flight = total_age / counted_attempts if counted_attempts else 0.0
         for attempt in stuck_attempts:
             server, cls = attempt.server, attempt.call.cls
-            latency_known = cls.mean.count > 0
+            latency_known = cls.mean_latency.count > 0
             if (
                 server.last_ok < attempt.sent_at
                 and not server.ejected_until
@@ -1114,7 +1135,7 @@
             # Before its first answer an instance does not know how long the tiers below take, and the hedges
             # of instances that have all just started would multiply along a chain of tiers. Cost: the first
             # calls on a hung server stay there until they are over the target latency.
-            if latency_known or now - attempt.sent_at > cls.target:
+            if latency_known or now - attempt.sent_at > cls.target_latency:
                 self.hedge(attempt)
 
     def connection_seems_stalled(self, attempt: Attempt) -> bool:
@@ -1144,9 +1165,9 @@
         attempt.stalled_connection = True
         if attempt.has_slot:
             attempt.has_slot = False
-            self.counted_in_flight -= 1
+            self.busy -= 1
         if attempt.over_target:
-            self.admission.window += self.admission.step()  # undo the decrease for its age: no overload
+            self.admission.window += self.admission.limit_step()  # undo the decrease for its age: no overload
 
     def hedge(self, attempt: Attempt) -> None:
         """Makes a further attempt for a call that seems stuck, where its class and the settings allow it.
@@ -1158,7 +1179,7 @@
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.in_flight > 1:
             return
-        mean = call.cls.mean.value
+        mean = call.cls.mean_latency.value
         remaining = call.useful_until - self.now
         may_finish = (
             remaining > max(HEDGE_TIME_LEFT * mean, mean + 2 * TICK) and not attempt.server.ejected_until
@@ -1177,8 +1198,8 @@
 
     def renew_health_leases(self) -> None:
         """Sends due health checks, charged to later steady probes, since they bring load reports too."""
-        for server in self.health_leases.due(
-            self.servers.pool, self.now, self.counted_in_flight + len(self.queue)
+        for server in self.health_leases.servers_to_check(
+            self.servers.pool, self.now, self.busy + len(self.queue)
         ):
             self.probe_tokens = max(-MAX_LEASE_PROBE_DEBT, self.probe_tokens - 1)
             self.send_probe(server)
@@ -1191,7 +1212,7 @@
             return
         now = self.now
         self.renew_health_leases()
-        probe_rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.rate)
+        probe_rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.arrival_rate)
         self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + probe_rate * interval))
         for server in self.servers.known.values():
             probe_due = server.ejected_until and now >= server.ejected_until and not server.probe_out
@@ -1214,7 +1235,7 @@
         if call.probed_candidates is None:
             call.probed_candidates = []
             servers = self.servers
-            probe_rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.rate)
+            probe_rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.arrival_rate)
             if call.attempts or call.deadline - self.now < 3 * PRE_SEND_WAIT:
                 return False
             if (
@@ -1248,13 +1269,9 @@
         position = 0
         now = self.now
         queue, servers = self.queue, self.servers
-        while position < len(queue) and self.counted_in_flight + 1 <= self.admission.window:
+        while position < len(queue) and self.busy + 1 <= self.admission.window:
             call = queue[position]
-            if (
-                self.counted_in_flight
-                and call.useful_until - now < call.cls.mean.value
-                and not call.in_flight
-            ):
+            if self.busy and call.useful_until - now < call.cls.mean_latency.value and not call.in_flight:
                 # The answer would most likely come too late, so the work would be wasted. With no other
                 # attempt in flight the call is sent anyway, so that a mean that rose too far can fall.
                 del queue[position]
@@ -1266,7 +1283,7 @@
                 continue
             choice = servers.pick(call, self.safety_rules, now)
             if choice is None:
-                if self.health_leases.needed(now):
+                if self.health_leases.required(now):
                     self.renew_health_leases()
                 if not call.attempts:
                     return
@@ -1279,7 +1296,7 @@
                     position += 1
                 continue
             server, load = choice
-            give_up_at = call.deadline if call.cls.late_counts else max(call.useful_until, now + TICK)
+            give_up_at = call.deadline if call.cls.late_answers_count else max(call.useful_until, now + TICK)
             idle_time = servers.idle_time(server, now)
             if idle_time > servers.max_idle_age and servers.connect_cost < HIGH_CONNECT_COST:
                 self.actions.append(CloseIdle(server.id))
@@ -1297,7 +1314,7 @@
             server.net_sends_since_report += 1
             if servers.slow_start_share(server, now) < 1:
                 server.slow_start_tokens -= 1
-            self.counted_in_flight += 1
+            self.busy += 1
             self.sends_in_step += 1
 
     def expire_calls_waiting_for_list(self) -> None:
@@ -1331,17 +1348,17 @@
         if not self.queue:
             return
         now = self.now
-        wait_per_call = self.admission.proc / self.admission.window
+        wait_per_call = self.admission.latency_estimate / self.admission.window
         kept: list[Call] = []
         for call in self.queue:
             remaining = call.useful_until - now
             fits = (
                 not kept
-                or (len(kept) + 1) * wait_per_call + TAIL_ALLOWANCE * call.cls.mean.value <= remaining
+                or (len(kept) + 1) * wait_per_call + TAIL_ALLOWANCE * call.cls.mean_latency.value <= remaining
             )
             # A call that waits for probes is sent, or checked here again, before its deadline. With less than
             # a mean latency left it would be wasted work, above all on overloaded servers.
-            awaiting_probes = now < call.probe_end - 1e-9 and remaining > call.cls.mean.value
+            awaiting_probes = now < call.probe_end - 1e-9 and remaining > call.cls.mean_latency.value
             if fits and remaining > 0 and (awaiting_probes or call.deadline - now > ANSWER_MARGIN):
                 kept.append(call)
             else:
--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -12,8 +12,8 @@
 
 from granitepoint.interface import (
     Arrival,
-    ClosedAtRest,
     Gone,
+    IdleConnectionClosed,
     ListKind,
     Outcome,
     Probed,
@@ -77,7 +77,9 @@
         for _ in range(count):
             self.last_id += 1
             name = classes[cls % len(classes)].name
-            self.world.arrive(Arrival(self.last_id, name, budget, tenant, work, resent, stated=stated))
+            self.world.arrive(
+                Arrival(self.last_id, name, budget, tenant, work, resent, stated_timeout=stated)
+            )
 
     @rule(cls=st.sampled_from(["unheard of", *draw.NAMES]), budget=st.sampled_from([0.0, -1.0, math.inf]))
     def arrive_odd(self, cls: str, budget: float) -> None:
@@ -219,7 +221,7 @@
 
     @rule(server=st.integers(1, draw.SERVERS), rested=st.sampled_from([0.0, 0.5, 30.0]))
     def close_at_rest(self, server: int, rested: float) -> None:
-        self.world.pending.append(ClosedAtRest(server, rested))
+        self.world.pending.append(IdleConnectionClosed(server, rested))
 
     @rule(span=st.sampled_from(draw.SPANS))
     def wait(self, span: float) -> None:
--- a/granitepoint/modelcheck/rules.py
+++ b/granitepoint/modelcheck/rules.py
@@ -150,8 +150,8 @@
         told = {(event.call, event.attempt) for event in world.pending if isinstance(event, Outcome)}
         self.check(gone <= told, f"attempts held although ended: {sorted(gone - told)}")
         self.check(
-            0 <= balancer.counted_in_flight <= len(balancer.attempts_in_flight),
-            f"{balancer.counted_in_flight} places taken of {len(out)}",
+            0 <= balancer.busy <= len(balancer.attempts_in_flight),
+            f"{balancer.busy} places taken of {len(out)}",
         )
 
 
--- a/granitepoint/modelcheck/world.py
+++ b/granitepoint/modelcheck/world.py
@@ -141,8 +141,10 @@
         self.pending.append(event)
         if event.call in self.calls:
             return
-        known = event.cls in self.classes and 0 < event.budget < math.inf
-        call = Call(event.call, self.classes[event.cls] if known else None, event.budget if known else 0.0)
+        known = event.class_name in self.classes and 0 < event.budget < math.inf
+        call = Call(
+            event.call, self.classes[event.class_name] if known else None, event.budget if known else 0.0
+        )
         self.calls[call.id] = self.open[call.id] = call
 
     def settle(
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -16,9 +16,9 @@
 
 from granitepoint.interface import DiscoveryFailed, WatchLost, WatchOpened
 from granitepoint.membership.backoff import Backoff
-from granitepoint.membership.evidence import AT_ONCE, Failure
-from granitepoint.membership.list_lease import CONTINUES, HOLD_TOLD, MOVE_TOLD
-from granitepoint.membership.list_lease import TOLD_AFTER as SILENCE_NOTIFIED_AFTER
+from granitepoint.membership.evidence import IMMEDIATE_FAILURE_TIME, Failure
+from granitepoint.membership.list_lease import MAX_WATCH_GAP, NOTIFIED_AFTER_HOLD, NOTIFIED_AFTER_MOVE
+from granitepoint.membership.list_lease import NOTIFIED_AFTER as SILENCE_NOTIFIED_AFTER
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.membership.version_history import VersionHistory
 from granitepoint.net.config import Address
@@ -87,7 +87,7 @@
         self.on_list, self.on_failed = on_list, on_failed
         self.on_evidence = on_evidence  # called with all events that affect the lease on the list
         # For the retries that this client makes by itself, on a watch or at a new address.
-        self.backoff = Backoff(random, instances=instances, place=random.random())
+        self.backoff = Backoff(random, instances=instances, phase=random.random())
         self.last_failure = Failure.SILENT
         self.last_answer_at = -math.inf  # monotonic, of the last list on a watch
         self.last_answer_unqueued = False  # it had not waited in the queue of discovery
@@ -127,7 +127,7 @@
         changes count as notified.
         """
         self.stop()
-        self._watch_lost(MOVE_TOLD, moved=True)
+        self._watch_lost(NOTIFIED_AFTER_MOVE, moved=True)
         self.address, self.moving, self.version = address, True, self.history.version
         self.last_answer_at = -math.inf  # that was an answer of the old address
         self.watch(True)
@@ -175,7 +175,7 @@
                 timeout = (
                     MOVE_RETRY_AFTER if was_moving else RENEW_AFTER if self.confirmed else CONFIRM_TIMEOUT
                 )
-                continued = time.monotonic() - self.last_answer_at <= CONTINUES
+                continued = time.monotonic() - self.last_answer_at <= MAX_WATCH_GAP
                 call = DiscoveryCall(
                     time.monotonic(), hold, continued, self.last_answer_unqueued, self._since_version()
                 )
@@ -190,7 +190,8 @@
                 tries = tries + 1 if self.moving else 0
                 if not newest_task.done():
                     self._watch_lost(
-                        started_at + max(SILENCE_NOTIFIED_AFTER, hold + HOLD_TOLD) - loop.time(), silent=True
+                        started_at + max(SILENCE_NOTIFIED_AFTER, hold + NOTIFIED_AFTER_HOLD) - loop.time(),
+                        silent=True,
                     )
                     channel = Channel()
                     continue
@@ -201,7 +202,7 @@
                 self._watch_lost()
                 ended_at = time.monotonic()
                 self.on_evidence(
-                    DiscoveryFailed(self.last_failure, call.started_at, ended_at, beside=bool(calls))
+                    DiscoveryFailed(self.last_failure, call.started_at, ended_at, older_call_open=bool(calls))
                 )
                 if self.pushed:
                     await asyncio.sleep(self._shortened(PUSH_RETRY_DELAY, PUSH_RETRY_JITTER))
@@ -217,7 +218,7 @@
 
     def _since_version(self) -> int | None:
         """Returns the version since which changes are requested; None for the full list."""
-        return self.history.ask_from if self.moving and self.version is not None else self.version
+        return self.history.request_from if self.moving and self.version is not None else self.version
 
     def _shortened(self, duration: float, jitter: float) -> float:
         """Returns `duration` shortened by a random share of up to `jitter`."""
@@ -300,7 +301,7 @@
     def _continues_history(self, listing: Listing) -> bool:
         """Returns whether the first list of a new address fits the history of the current list."""
         servers = [listed.entry.server for listed in listing.backends]
-        if listing.full or self.history.goes_on_with(listing.version, servers):
+        if listing.full or self.history.is_continued_by(listing.version, servers):
             return True
         log.warning(
             "discovery_differs", discovery="{}:{}".format(*self.address), version=listing.version,
@@ -328,10 +329,12 @@
             if not listing.full and not self.history.comparable:
                 self._verification_task = asyncio.get_running_loop().create_task(self._run_verification())
         servers = [listed.entry.server for listed in listing.backends]
-        self.history.told(None if listing.full else call.since_version, listing.version, servers)
+        self.history.record(None if listing.full else call.since_version, listing.version, servers)
         if call.is_watch:
             self.last_answer_at = now
-            self.last_answer_unqueued = listing.queue_time is not None and listing.queue_time <= AT_ONCE
+            self.last_answer_unqueued = (
+                listing.queue_time is not None and listing.queue_time <= IMMEDIATE_FAILURE_TIME
+            )
             self.confirmed = True
 
 
--- a/granitepoint/net/discovery_channel.py
+++ b/granitepoint/net/discovery_channel.py
@@ -106,7 +106,7 @@
     if isinstance(error, TimeoutError):
         return Failure.SILENT
     if not request_sent and not isinstance(error, ConnectionError):
-        return Failure.OWN_FAULT  # a local, usually temporary problem: no socket, no port, no route
+        return Failure.LOCAL_ERROR  # a local, usually temporary problem: no socket, no port, no route
     if isinstance(error, OSError) and not isinstance(error, ConnectionError):
         return Failure.SILENT  # the connection broke because the other side did not respond
     return classify(waited, continued, previous_unqueued)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -17,7 +17,7 @@
 
 from granitepoint import interface as api
 from granitepoint.logic import Balancer
-from granitepoint.membership.list_lease import TOLD_AFTER
+from granitepoint.membership.list_lease import NOTIFIED_AFTER
 from granitepoint.membership.start_times import StartTimes
 from granitepoint.net.config import Config, ConfigError
 from granitepoint.net.discovery import DiscoveryClient
@@ -108,8 +108,8 @@
     def __init__(self, config: Config) -> None:
         self.loop = asyncio.get_running_loop()
         pushed = not config.settings.ask_for_list
-        notified_after = 0.0 if pushed else min(TOLD_AFTER, config.settings.must_ask_within)
-        self.settings = replace(config.settings, told_after=notified_after)
+        notified_after = 0.0 if pushed else min(NOTIFIED_AFTER, config.settings.must_ask_within)
+        self.settings = replace(config.settings, notified_after=notified_after)
         self.config = config
         self.effects = {cls.name: cls.effect for cls in self.settings.classes}
         self.deadlines = {cls.name: cls.deadline for cls in self.settings.classes}
@@ -194,13 +194,13 @@
             )
             log.info(
                 "figures",
-                window=admission.window, latency_s=admission.proc, rate_per_s=admission.rate,
-                cut=admission.cut, out=self.balancer.counted_in_flight, held=len(self.balancer.queue),
+                window=admission.window, latency_s=admission.latency_estimate, rate_per_s=admission.arrival_rate,
+                cut=admission.utility_threshold, out=self.balancer.busy, held=len(self.balancer.queue),
                 list_confirmed=int(self.balancer.health_leases.confirmed),
                 list_lease_s=self.balancer.list_lease.expires_at - time.monotonic(),
                 **{f"servers.{state}": count for state, count in sorted(states.items())},
-                **{f"target.{class_state.name}_s": class_state.target for class_state in class_states},
-                **{f"mean.{class_state.name}_s": class_state.mean.value for class_state in class_states},
+                **{f"target.{class_state.name}_s": class_state.target_latency for class_state in class_states},
+                **{f"mean.{class_state.name}_s": class_state.mean_latency.value for class_state in class_states},
                 **{name.replace(" ", "."): count for name, count in sorted(counts.items())},
             )  # fmt: skip
 
@@ -245,7 +245,7 @@
             log.info(
                 "list_usable" if list_usable else "list_unusable",
                 version=self.discovery.version, last_failure=self.discovery.last_failure.value,
-                proven_s=now - self.balancer.list_lease.proven_until, held=len(self.balancer.queue),
+                proven_s=now - self.balancer.list_lease.verified_until, held=len(self.balancer.queue),
             )  # fmt: skip
 
     def _handle_balancer_failure(self, events: list[api.Event]) -> None:
@@ -267,7 +267,12 @@
     def _server_list(listing: Listing, kind: api.ListKind) -> api.ServerList:
         entries = [listed.entry for listed in listing.backends]
         return api.ServerList(
-            kind, entries, listing.version, listing.written_after, listing.ends_watch, turn=listing.queue_time
+            kind,
+            entries,
+            listing.version,
+            listing.written_after,
+            listing.ends_watch,
+            service_time=listing.queue_time,
         )
 
     def _on_list(self, listing: Listing) -> None:
@@ -287,7 +292,7 @@
     def _on_idle_connection_closed(self, upstream: Upstream, idle_for: float) -> None:
         for server, listed in self.upstreams.by_id.items():
             if listed is upstream and upstream.serving:  # a draining server closes them all
-                self._enqueue(api.ClosedAtRest(server, idle_for))
+                self._enqueue(api.IdleConnectionClosed(server, idle_for))
 
     # the callers' side
     def ready(self) -> bool:
@@ -329,13 +334,13 @@
         self._enqueue(
             api.Arrival(
                 call=number,
-                cls=request.cls,
+                class_name=request.cls,
                 budget=call.deadline - min(BALANCER_MARGIN, max_margin) - now,
                 tenant=request.tenant,
                 work=request.work,
                 resent=request.resent,
                 key=request.session_id,
-                stated=stated_budget,
+                stated_timeout=stated_budget,
             )
         )
         return call
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -77,13 +77,13 @@
     listing: Listing, named_starts: Sequence[tuple[str, float]], start_times: StartTimes
 ) -> None:
     """Sets the start times of the listed servers, on the clock of this process."""
-    started = start_times.listed(dict(named_starts), time.monotonic())
+    started = start_times.to_local_times(dict(named_starts), time.monotonic())
     for (name, _), listed in zip(named_starts, listing.backends, strict=True):
         listed.entry.started_at = started[name]
         if listed.entry.state is ServerState.GONE:
-            start_times.forget(name)
+            start_times.remove(name)
     if listing.full:
-        start_times.keep(set(started))
+        start_times.keep_only(set(started))
 
 
 def _read_backend(item: Mapping[str, Any]) -> ListedBackend:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -16,11 +16,11 @@
     Arrival,
     Balancer,
     Cancel,
-    ClosedAtRest,
     CloseIdle,
     Effect,
     Event,
     Fail,
+    IdleConnectionClosed,
     ListKind,
     Outcome,
     Probe,
@@ -35,14 +35,14 @@
     Tenant,
     Watch,
 )
-from granitepoint.admission import Admission, Kind
+from granitepoint.admission import Admission, ClassState
 from granitepoint.logic import (
     AT_LIMIT_TIME,
     CAPACITY_DECAY_TIME,
     FAILURE_SHARE_DECAY_TIME,
     NEVER_RAN_RETRY_COST,
 )
-from granitepoint.membership.backoff import CROWDED, LONGEST_PAUSE
+from granitepoint.membership.backoff import MAX_PAUSE, OVERLOADED
 from granitepoint.membership.evidence import Failure
 
 
@@ -52,8 +52,8 @@
     admission = Admission(stage, Random(3))
     for _ in range(20):
         admission.observe_latency(latency)
-    admission.window, admission.rate = concurrency_limit, rate
-    admission.history.extend(utilities)
+    admission.window, admission.arrival_rate = concurrency_limit, rate
+    admission.recent_utilities.extend(utilities)
     return admission
 
 
@@ -70,57 +70,63 @@
 
 def test_nothing_is_refused_without_samples() -> None:
     admission = Admission(0, Random(3))
-    admission.rate = 1e6
-    admission.set_cut()
+    admission.arrival_rate = 1e6
+    admission.update_threshold()
     assert admission.drop() == 0.0 and admission.admits(0.0)
 
 
 def test_utility_threshold_and_tie_reject_probability() -> None:
     # 70% have utility 1, 30% have 12. Dropping 0.2 of all refuses 2 in 7 of the calls of utility 1.
     admission = make_admission(4, 0.1, 50, [1.0] * 70 + [12.0] * 30)
-    admission.set_cut()
-    assert admission.cut == 1.0 and admission.tie == pytest.approx(0.2 / 0.7)
+    admission.update_threshold()
+    assert admission.utility_threshold == 1.0 and admission.tie_reject_probability == pytest.approx(0.2 / 0.7)
     assert admission.admits(12.0)
     refused = sum(not admission.admits(1.0) for _ in range(7000))
     assert refused == pytest.approx(2000, rel=0.1)
     # Dropping 0.8 of all refuses all calls of utility 1 and a third of the others.
-    admission.rate = 200
-    admission.set_cut()
-    assert admission.cut == 12.0 and admission.tie == pytest.approx(0.1 / 0.3)
+    admission.arrival_rate = 200
+    admission.update_threshold()
+    assert admission.utility_threshold == 12.0 and admission.tie_reject_probability == pytest.approx(
+        0.1 / 0.3
+    )
     assert not admission.admits(1.0)
 
 
 def test_threshold_refuses_a_whole_utility_level_that_just_reaches_the_drop_fraction() -> None:
     admission = make_admission(4, 0.1, 80, [1.0] * 50 + [12.0] * 50)
-    admission.set_cut()
-    assert admission.cut == 1.0 and admission.tie == pytest.approx(1.0) and not admission.admits(1.0)
+    admission.update_threshold()
+    assert (
+        admission.utility_threshold == 1.0
+        and admission.tie_reject_probability == pytest.approx(1.0)
+        and not admission.admits(1.0)
+    )
 
 
 def test_concurrency_limit_grows_only_while_it_limits_and_falls_on_late_answers() -> None:
     admission = Admission(0, Random(3))
-    admission.starting = False
+    admission.limit_doubles = False
     before = admission.window
-    admission.good(busy=0)
+    admission.on_within_target(busy=0)
     assert admission.window == before
-    admission.good(busy=before)
+    admission.on_within_target(busy=before)
     assert admission.window > before
     grown = admission.window
-    admission.bad()
+    admission.on_over_target()
     assert admission.window < grown
     for _ in range(100):
-        admission.bad()
+        admission.on_over_target()
     assert admission.window == 2
     # Incident ibba0b4: with more instances than servers, two calls in flight of each overloaded the servers.
-    admission.set_least(servers=20, balancers=80)
+    admission.set_min_limit(servers=20, balancers=80)
     for _ in range(100):
-        admission.bad()
+        admission.on_over_target()
     assert admission.window == 1
 
 
 def test_ages_of_attempts_in_flight_raise_the_latency_estimate() -> None:
     admission = make_admission(4, 0.1, 50, [1.0] * 20)
-    admission.age = 1.0
-    assert admission.proc == pytest.approx(0.5)
+    admission.mean_age_in_flight = 1.0
+    assert admission.latency_estimate == pytest.approx(0.5)
 
 
 def fill_concurrency_limit(driver: Driver) -> None:
@@ -136,9 +142,12 @@
     driver = Driver(settings(classes=[low_utility, high_utility, *settings().classes]))
     fill_concurrency_limit(driver)
     admission = driver.balancer.admission
-    admission.latency.value, admission.latency.count = 0.4, 0.0  # each position waits 0.4 / 2 = 0.2 s
+    admission.mean_latency.value, admission.mean_latency.count = (
+        0.4,
+        0.0,
+    )  # each position waits 0.4 / 2 = 0.2 s
     for class_state in driver.balancer.class_states.values():
-        class_state.mean.value = 0.2
+        class_state.mean_latency.value = 0.2
     # With a latency objective of 1 s, 0.2 n + 2 x 0.2 <= 1 allows three positions.
     actions = driver.feed(*[Arrival(call, "cheap", 2.0) for call in (1, 2, 3, 4)])
     assert [a for a in actions if isinstance(a, Refuse)] == [Refuse(4)]
@@ -151,7 +160,7 @@
 def test_one_call_may_always_be_queued() -> None:
     driver = Driver(settings())
     fill_concurrency_limit(driver)
-    driver.balancer.admission.latency.value = 50.0
+    driver.balancer.admission.mean_latency.value = 50.0
     actions = driver.arrive(1)
     assert not [a for a in actions if isinstance(a, Refuse)]
     assert [call.id for call in driver.balancer.queue] == [1]
@@ -298,9 +307,9 @@
     # since their reduced budgets looked as if the clients' total time was running out.
     driver = Driver(settings())
     for call in range(20):
-        driver.finish(only_send(driver.arrive(call, "once", budget=1.0, stated=1.0)), Status.OK)
-    driver.finish(only_send(driver.arrive(98, "once", budget=0.9, stated=1.0)), Status.OK)
-    assert not sends(driver.arrive(99, "once", budget=0.9, stated=0.9))  # this client has waited
+        driver.finish(only_send(driver.arrive(call, "once", budget=1.0, stated_timeout=1.0)), Status.OK)
+    driver.finish(only_send(driver.arrive(98, "once", budget=0.9, stated_timeout=1.0)), Status.OK)
+    assert not sends(driver.arrive(99, "once", budget=0.9, stated_timeout=0.9))  # this client has waited
 
 
 def test_a_first_try_with_a_short_budget_is_not_late_where_retries_are_marked() -> None:
@@ -347,9 +356,9 @@
     assert driver.actions.count(Watch(True)) == 1
     driver.feed(ServerList(ListKind.FAILED, failure=Failure.WAITED))
     before = driver.actions.count(Watch(True))
-    driver.wait(CROWDED.first * CROWDED.least_share - 0.05)
+    driver.wait(OVERLOADED.first * OVERLOADED.min_fraction - 0.05)
     assert driver.actions.count(Watch(True)) == before
-    driver.wait(CROWDED.first)
+    driver.wait(OVERLOADED.first)
     assert driver.actions.count(Watch(True)) == before + 1
     assert Watch(True) not in Driver(settings()).wait(12.0)
 
@@ -360,7 +369,7 @@
     driver.wait(2.1)
     for _ in range(12):
         driver.feed(ServerList(ListKind.FAILED))
-        assert driver.wait(LONGEST_PAUSE + 0.1).count(Watch(True)) == 1
+        assert driver.wait(MAX_PAUSE + 0.1).count(Watch(True)) == 1
 
 
 @pytest.mark.parametrize("reason", ["drained", "window over", "ejected for longer"])
@@ -392,7 +401,7 @@
 
 def test_target_latency_of_inner_tiers_is_smaller() -> None:
     cls = settings().classes[0]
-    assert Kind(cls, 1).least_target == pytest.approx(Kind(cls, 0).least_target / 2)
+    assert ClassState(cls, 1).min_target_latency == pytest.approx(ClassState(cls, 0).min_target_latency / 2)
 
 
 def test_a_new_instance_hedges_no_call_early_before_its_first_answer() -> None:
@@ -524,7 +533,7 @@
     # Found by the property test: division by a mean latency of 0.
     driver = Driver(settings())
     driver.finish(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
-    assert driver.balancer.class_states["safe"].mean.value > 0
+    assert driver.balancer.class_states["safe"].mean_latency.value > 0
 
 
 def test_with_few_calls_and_cheap_probes_candidates_are_probed_before_sending() -> None:
@@ -547,16 +556,16 @@
 def test_target_latency_is_never_below_the_unloaded_latency() -> None:
     # Seen at low load on wa-payments: the unloaded latency was close to the target latency, and the
     # concurrency limit fell to 5.
-    class_state = Kind(settings().classes[0], 0)
-    least = class_state.least_target
+    class_state = ClassState(settings().classes[0], 0)
+    least = class_state.min_target_latency
     for _ in range(60):
-        class_state.took(0.3)
-    class_state.learn_base(0.05)
-    assert class_state.target == pytest.approx(1.75 * 0.3) and class_state.target > least
+        class_state.record_latency(0.3)
+    class_state.update_target(0.05)
+    assert class_state.target_latency == pytest.approx(1.75 * 0.3) and class_state.target_latency > least
     for _ in range(300):
-        class_state.took(0.9)
-    class_state.learn_base(0.05)
-    assert class_state.target < 0.54  # overload does not raise it at once
+        class_state.record_latency(0.9)
+    class_state.update_target(0.05)
+    assert class_state.target_latency < 0.54  # overload does not raise it at once
 
 
 def test_a_long_tail_does_not_make_the_unloaded_latency_too_low() -> None:
@@ -566,11 +575,11 @@
     random = Random(11)
     unloaded_latencies = []
     for _ in range(20):
-        class_state = Kind(settings().classes[0], 0)
+        class_state = ClassState(settings().classes[0], 0)
         for _ in range(2000):
-            class_state.took(random.lognormvariate(math.log(0.3) - 0.5, 1.0))  # mean 0.3
-            class_state.learn_base(0.05)
-        unloaded_latencies.append(class_state.base)
+            class_state.record_latency(random.lognormvariate(math.log(0.3) - 0.5, 1.0))  # mean 0.3
+            class_state.update_target(0.05)
+        unloaded_latencies.append(class_state.unloaded_latency)
     assert sum(unloaded_latencies) / len(unloaded_latencies) > 0.25
 
 
@@ -592,12 +601,12 @@
 def test_call_with_too_little_time_is_not_sent_while_others_are_in_flight() -> None:
     # Incident i37a472: calls with less than the mean latency left were sent and answered too late.
     driver = Driver(settings())
-    driver.balancer.class_states["safe"].mean.value = 0.4
+    driver.balancer.class_states["safe"].mean_latency.value = 0.4
     only_send(driver.arrive(1))
     actions = driver.arrive(2, budget=0.3)
     assert Refuse(2) in actions and not sends(actions)
     alone = Driver(settings())
-    alone.balancer.class_states["safe"].mean.value = 0.4
+    alone.balancer.class_states["safe"].mean_latency.value = 0.4
     assert len(sends(alone.arrive(2, budget=0.3))) == 1
 
 
@@ -637,15 +646,15 @@
     for call in range(30):
         driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     balancer = driver.balancer
-    limit, latency_estimate = balancer.admission.window, balancer.admission.proc
+    limit, latency_estimate = balancer.admission.window, balancer.admission.latency_estimate
     silent = only_send(driver.arrive(30, "once"))
     for call in range(31, 60):
         driver.wait(0.05)
         driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
-    assert balancer.counted_in_flight == 0 and silent.call in balancer.safety_rules.calls
+    assert balancer.busy == 0 and silent.call in balancer.safety_rules.calls
     driver.finish(silent, Status.TIMEOUT, elapsed=1.9, final=True)
     assert balancer.admission.window >= limit
-    assert balancer.admission.proc == pytest.approx(latency_estimate, rel=0.1)
+    assert balancer.admission.latency_estimate == pytest.approx(latency_estimate, rel=0.1)
 
 
 def test_the_calls_of_a_hung_server_stay_counted() -> None:
@@ -656,7 +665,7 @@
     driver.arrive(30, "once")
     for _ in range(4):
         driver.wait(0.05)
-    assert driver.balancer.counted_in_flight == 1 and driver.balancer.admission.age > 0.1
+    assert driver.balancer.busy == 1 and driver.balancer.admission.mean_age_in_flight > 0.1
 
 
 def test_a_late_call_with_a_broken_connection_is_no_sign_of_overload() -> None:
@@ -666,7 +675,7 @@
         driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
     limit = driver.balancer.admission.window
     send = only_send(driver.arrive(60, "once"))
-    driver.wait(driver.balancer.class_states["once"].target + 0.1)
+    driver.wait(driver.balancer.class_states["once"].target_latency + 0.1)
     assert driver.balancer.admission.window < limit  # by its age it looks like overload
     driver.finish(send, Status.RESET, elapsed=0.5, final=True)
     assert driver.balancer.admission.window == pytest.approx(limit, rel=0.02)
@@ -677,7 +686,7 @@
     driver = Driver(settings(), servers=entries(1, 2))
     for call in range(60):
         driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
-    limit, target = driver.balancer.admission.window, driver.balancer.class_states["once"].target
+    limit, target = driver.balancer.admission.window, driver.balancer.class_states["once"].target_latency
     driver.finish(only_send(driver.arrive(60, "once")), Status.TIMEOUT, elapsed=target / 2, final=True)
     assert driver.balancer.admission.window == limit
     driver.finish(only_send(driver.arrive(61, "once")), Status.TIMEOUT, elapsed=target + 0.1, final=True)
@@ -692,13 +701,13 @@
         driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.arrive(30, "once")
     sent_probes = [action for action in driver.wait(0.8) if isinstance(action, Probe)]
-    assert sent_probes and driver.balancer.counted_in_flight == 1
+    assert sent_probes and driver.balancer.busy == 1
     driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 1.0}))  # the server works on it
     driver.wait(0.05)
-    assert driver.balancer.counted_in_flight == 1
+    assert driver.balancer.busy == 1
     driver.feed(Probed(1, Status.OK, 0.01, {"busy_reqs": 0.0}))
     driver.wait(0.05)
-    assert driver.balancer.counted_in_flight == 0
+    assert driver.balancer.busy == 0
 
 
 def test_errors_do_not_change_the_concurrency_limit() -> None:
@@ -729,10 +738,10 @@
     driver.wait(0.4)
     third = only_send(driver.arrive(3))  # the second is still in flight: the server looks in use
     assert third.trust > 20.0
-    driver.feed(Outcome(3, 0, third.server, Status.RESET, 0.001, False, rested=0.4))
+    driver.feed(Outcome(3, 0, third.server, Status.RESET, 0.001, False, idle_for=0.4))
     assert 0.25 < only_send(driver.arrive(4)).trust < 0.3
     assert not driver.balancer.servers.known[1].ejected_until
-    driver.feed(Outcome(4, 0, second.server, Status.RESET, 0.001, False, rested=0.0))
+    driver.feed(Outcome(4, 0, second.server, Status.RESET, 0.001, False, idle_for=0.0))
     assert only_send(driver.arrive(5)).trust > 0.25  # a new connection had no idle time
 
 
@@ -743,7 +752,7 @@
     for call, (idle_time, min_age, max_age) in enumerate(
         [(0.02, 20.0, 30.0), (0.5, 0.3, 0.4), (0.9, 0.3, 0.4)]
     ):
-        driver.feed(ClosedAtRest(1, idle_time))
+        driver.feed(IdleConnectionClosed(1, idle_time))
         send = only_send(driver.arrive(call))
         assert min_age < send.trust <= max_age
         driver.finish(send, Status.OK)
@@ -870,13 +879,13 @@
     driver = Driver(settings(may_probe=False), servers=entries(1, 2, 3))
     in_flight = [only_send(driver.arrive(call)) for call in range(3)]
     admission = driver.balancer.admission
-    before = (admission.window, admission.proc)
+    before = (admission.window, admission.latency_estimate)
     driver.now += 1.9
     actions = driver.feed(
         *[Outcome(send.call, 0, send.server, Status.OK, 1.9, True) for send in in_flight[:2]],
         Outcome(in_flight[2].call, 0, in_flight[2].server, Status.TIMEOUT, 1.9, False),
     )
-    assert (admission.window, admission.proc) == before and Refuse(in_flight[2].call) in actions
+    assert (admission.window, admission.latency_estimate) == before and Refuse(in_flight[2].call) in actions
     assert not any(server.ejected_until for server in driver.balancer.servers.known.values())
 
 
@@ -884,7 +893,7 @@
     # Seen at low load on pratiche-nord: inner calls with less than 0.1 s left were refused while they waited
     # 0.01 s for their probes.
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
-    driver.balancer.class_states["safe"].mean.value = 0.05
+    driver.balancer.class_states["safe"].mean_latency.value = 0.05
     actions = driver.arrive(1, budget=0.08)
     assert not sends(actions) and Refuse(1) not in actions
     assert len(sends(driver.wait(0.012))) == 1
@@ -894,9 +903,13 @@
     """Otherwise the threshold keeps itself in force: its refusals keep the concurrency limit from growing."""
     balancer = Balancer(settings(classes=[SAFE, ONCE]), 1)
     balancer.handle(100.0, [ServerList(ListKind.SAVED, entries(1, 2, 3, 4))])
-    balancer.admission.cut, balancer.admission.tie, balancer.admission.window = 1.0, 1.0, 5.0
+    (
+        balancer.admission.utility_threshold,
+        balancer.admission.tie_reject_probability,
+        balancer.admission.window,
+    ) = 1.0, 1.0, 5.0
     actions: list[Action] = []
     for call in range(8):
-        actions += balancer.handle(100.001 + call / 1000, [Arrival(call=call, cls="once", budget=2.0)])
+        actions += balancer.handle(100.001 + call / 1000, [Arrival(call=call, class_name="once", budget=2.0)])
     assert [action.call for action in actions if isinstance(action, Send)] == [0, 1, 2, 3]
     assert [action.call for action in actions if isinstance(action, Refuse)] == [4, 5, 6, 7]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,10 +25,10 @@
 
 from granitepoint.interface import WatchLost
 from granitepoint.membership import backoff
-from granitepoint.membership.evidence import LONGEST_TURN, Failure
-from granitepoint.membership.health_checks import LEASE
-from granitepoint.membership.list_lease import HOLD_TOLD
-from granitepoint.membership.list_lease import TOLD_AFTER as SILENCE_NOTIFIED_AFTER
+from granitepoint.membership.evidence import MAX_QUEUE_TIME, Failure
+from granitepoint.membership.health_checks import LEASE_DURATION
+from granitepoint.membership.list_lease import NOTIFIED_AFTER as SILENCE_NOTIFIED_AFTER
+from granitepoint.membership.list_lease import NOTIFIED_AFTER_HOLD
 from granitepoint.net import discovery as net
 from granitepoint.net.discovery_channel import Channel
 from granitepoint.net.listing import Listing
@@ -107,7 +107,7 @@
     assert (
         notified_after - net.RENEW_AFTER >= queue_time + queue_time + queue_time
     )  # the retry delay is no longer than the wait before it
-    assert notified_after - net.RENEW_AFTER >= LEASE  # leases cover the time after the first failure
+    assert notified_after - net.RENEW_AFTER >= LEASE_DURATION  # leases cover the time after the first failure
     assert net.HOLD_MS <= 60_000
 
 
@@ -118,9 +118,9 @@
     assert (
         net.CONFIRM_TIMEOUT + queue_time + hold
         < SILENCE_NOTIFIED_AFTER
-        == max(SILENCE_NOTIFIED_AFTER, hold + HOLD_TOLD)
+        == max(SILENCE_NOTIFIED_AFTER, hold + NOTIFIED_AFTER_HOLD)
     )
-    assert queue_time + hold < net.HOLD_MS / 1000 + HOLD_TOLD - net.RENEW_AFTER
+    assert queue_time + hold < net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD - net.RENEW_AFTER
 
 
 @pytest.mark.parametrize("confirmed", [False, True])
@@ -146,9 +146,11 @@
                 client.watch(True)
                 await peer.next("/v1/servers?from=1&")
                 await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
-            notified_within = net.HOLD_MS / 1000 + HOLD_TOLD if confirmed else SILENCE_NOTIFIED_AFTER
+            notified_within = (
+                net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD if confirmed else SILENCE_NOTIFIED_AFTER
+            )
             lost = [each for each in evidence if isinstance(each, WatchLost)]
-            assert notified_within - 1.0 < lost[0].told_within < notified_within and not client.confirmed
+            assert notified_within - 1.0 < lost[0].notified_within < notified_within and not client.confirmed
             assert lost[0].silent and not lost[0].moved
 
     run(test())
@@ -177,7 +179,7 @@
 
 def test_a_first_list_is_not_requested_twice_while_the_call_is_queued() -> None:
     """All proxies move at once, and twice the calls would take twice as long."""
-    assert net.MOVE_RETRY_AFTER * (1 - net.TIMEOUT_JITTER) > LONGEST_TURN * 0.9 > 2.0
+    assert net.MOVE_RETRY_AFTER * (1 - net.TIMEOUT_JITTER) > MAX_QUEUE_TIME * 0.9 > 2.0
 
 
 def test_a_dead_watch_is_renewed_beside_the_open_call(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -221,7 +223,7 @@
 ) -> None:
     """The balancer's delay after a failure would be longer than the time that is left."""
     set_watch_timeouts(monkeypatch, 0.05)
-    monkeypatch.setitem(backoff.PAUSES, Failure.AT_ONCE, backoff.Pause(0.01, 1.0, 0.01, 1.0))
+    monkeypatch.setitem(backoff.PAUSE_POLICIES, Failure.IMMEDIATE, backoff.PausePolicy(0.01, 1.0, 0.01, 1.0))
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -390,7 +392,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The watch that retried by itself has ended, and it had replaced one that a second move cancelled."""
-    monkeypatch.setattr(net, "Backoff", lambda random, **rest: backoff.Backoff(random, longest=0.001))
+    monkeypatch.setattr(net, "Backoff", lambda random, **rest: backoff.Backoff(random, max_pause=0.001))
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -509,7 +511,7 @@
         for client in clients:
             client.stop()
         assert clients[0].pauses == pytest.approx(clients[-1].pauses, abs=0.05)  # the same seed
-        longest = 0.15 if scenario == "pushed" else backoff.LONGEST_PAUSE
+        longest = 0.15 if scenario == "pushed" else backoff.MAX_PAUSE
         assert all(0 < pause <= longest for client in clients for pause in client.pauses)
         call_times = sorted(sum(client.pauses[:8]) for client in clients[:40])
         spacing = sum(clients[0].pauses[:8]) / 8
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -75,7 +75,7 @@
         driver.on_request(request(time.monotonic()), UnusedReply())
         first = driver.events[-1]
         assert isinstance(first, Arrival) and first.budget > 1.5
-        assert first.stated == 1.9
+        assert first.stated_timeout == 1.9
         delayed = request(time.monotonic() - 0.4)  # it was unread while this process was stalled
         delayed.id = b"3"
         driver.on_request(delayed, UnusedReply())
@@ -83,7 +83,7 @@
         assert (
             isinstance(delayed_arrival, Arrival)
             and delayed_arrival.budget < 1.5
-            and delayed_arrival.stated == 1.9
+            and delayed_arrival.stated_timeout == 1.9
         )
         driver.shutdown_deadline = time.monotonic() + 0.5
         second = request(time.monotonic())
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -20,7 +20,7 @@
 from netkit import endpoint, run
 from test_discovery import ADDRESS, ScriptedDiscovery, states
 
-from granitepoint.membership.version_history import MOST_REPEATED, VersionHistory
+from granitepoint.membership.version_history import MAX_REPEATED_ENTRIES, VersionHistory
 from granitepoint.net import discovery as net
 
 CHANGED_SERVERS = {1, 2}
@@ -30,14 +30,14 @@
 def history(version: int = 40) -> VersionHistory:
     """Version 40 is current, and the change from 39 to 40 is known."""
     versions = VersionHistory(version - 1)
-    versions.told(version - 1, version, CHANGED_SERVERS)
+    versions.record(version - 1, version, CHANGED_SERVERS)
     return versions
 
 
 def test_the_last_change_is_requested_again() -> None:
-    assert history().ask_from == 39 and history().comparable
+    assert history().request_from == 39 and history().comparable
     unchanged = VersionHistory(40)
-    assert unchanged.ask_from == 40 and not unchanged.comparable
+    assert unchanged.request_from == 40 and not unchanged.comparable
 
 
 @pytest.mark.parametrize(
@@ -55,25 +55,25 @@
 def test_another_service_is_recognized_by_its_version_and_by_the_missing_last_change(
     version: int, servers: set[int], goes_on: bool
 ) -> None:
-    assert history().goes_on_with(version, servers) is goes_on
+    assert history().is_continued_by(version, servers) is goes_on
 
 
 def test_a_full_list_or_a_large_change_leaves_nothing_to_compare() -> None:
     after_full_list = history()
-    after_full_list.told(None, 41, {1, 2, 3})
+    after_full_list.record(None, 41, {1, 2, 3})
     after_large_change = history()
-    after_large_change.told(40, 41, range(MOST_REPEATED + 1))
+    after_large_change.record(40, 41, range(MAX_REPEATED_ENTRIES + 1))
     for versions in (after_full_list, after_large_change):
-        assert versions.ask_from == 41 and not versions.comparable
-        assert versions.goes_on_with(41, set()) and not versions.goes_on_with(40, set())
+        assert versions.request_from == 41 and not versions.comparable
+        assert versions.is_continued_by(41, set()) and not versions.is_continued_by(40, set())
 
 
 def test_an_answer_without_changes_keeps_the_last_change() -> None:
     versions = history()
-    versions.told(40, 40, set())
-    assert versions.ask_from == 39
-    versions.told(39, 41, {1, 2, 5})  # the last change again, together with newer ones
-    assert versions.ask_from == 39 and not versions.goes_on_with(41, {1, 2})
+    versions.record(40, 40, set())
+    assert versions.request_from == 39
+    versions.record(39, 41, {1, 2, 5})  # the last change again, together with newer ones
+    assert versions.request_from == 39 and not versions.is_continued_by(41, {1, 2})
 
 
 @asynccontextmanager
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -25,7 +25,7 @@
     Timer,
     Watch,
 )
-from granitepoint.admission import Kind
+from granitepoint.admission import ClassState
 from granitepoint.logic import Call, SafetyRules, Server
 
 NEVER_RAN = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
@@ -37,7 +37,7 @@
 ) -> tuple[SafetyRules, Call]:
     """The rules, and a call with one attempt that was sent to server 1 at 100.0; status None: in flight."""
     safety_rules = SafetyRules(settings(may_duplicate=duplicate, max_attempts=max_attempts), [])
-    class_state = Kind(next(c for c in CLASSES if c.name == cls), 0)
+    class_state = ClassState(next(c for c in CLASSES if c.name == cls), 0)
     call = Call(7, class_state, 1.0, 100.0, 102.0, 101.0)
     safety_rules.calls[7] = call
     attempt = safety_rules.send(call, server(1), 100.0, 1.0, 0.0)
@@ -191,7 +191,7 @@
     driver.feed(StreamStarted(1, 0, send.server))
     actions = driver.wait(4.0)
     assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
-    assert driver.balancer.counted_in_flight == 0
+    assert driver.balancer.busy == 0
 
 
 def test_cold_server_is_sent_no_more_than_its_budget() -> None:
@@ -272,7 +272,7 @@
 def test_dedup_group_is_that_of_the_server_when_the_attempt_was_sent(group: str) -> None:
     """A later list that moves the server to another zone or cell does not move the attempt that may have run
     on it, so duplicates are still dropped only by the old group."""
-    class_state = Kind(replace(next(c for c in CLASSES if c.name == "zoned"), group=group), 0)
+    class_state = ClassState(replace(next(c for c in CLASSES if c.name == "zoned"), group=group), 0)
     safety_rules = SafetyRules(settings(), [])
     call = Call(7, class_state, 1.0, 100.0, 102.0, 101.0)
     safety_rules.calls[7] = call
--- a/tests/test_unconfirmed_list.py
+++ b/tests/test_unconfirmed_list.py
@@ -1,21 +1,17 @@
 """Servers that drain while discovery answers nobody.
 
-What users saw: a few requests went to servers that had been draining for longer than the grace period,
-only in fleets with many times the usual number of servers.
-
-The order of events: discovery was away for some seconds, and seven in ten of the first tier's proxies
-were restarted. At its return more calls came to it than it could answer, each call waited 2 s in turn,
-failed, and was made again at once, so no call ever came through. Servers began to drain. Six seconds
-after discovery had that, each proxy counted as told, whether it had been answered or not; these had the
-list of before, and went on sending.
-
-The cause: a list was trusted for as long as no newer one came. Nothing bounded its age, although a server
-that drains says so itself, on its health check.
-
-The evidence: the log of each proxy at fault holds nothing but failed calls to discovery (2.0 s each, the
-next one 0.1 s later) from 7 s before the drain until the break, and the break came 0.3 to 0.6 s after
-those 6 s. In a run with each request's lines (3867bda5), probes to servers that drained got 503 from 2 s
-before the list told of it, and not one got 200 after.
+Guards against this failure: some requests went to servers that had been draining for longer than the grace
+period. It was seen only in fleets with many times the usual number of servers.
+
+Discovery was down for some seconds while seven in ten of the first tier's proxies were restarted. When it
+returned, more calls arrived than it could answer. Each call was queued for 2 s, failed, and was repeated 0.1
+s later, so no call succeeded. Then servers began to drain. Six seconds after discovery had that change each
+proxy counted as notified, whether its calls were answered or not; these proxies still had the old list and
+went on sending, and the rule was broken 0.3 to 0.6 s after those 6 s.
+
+The cause was that a list was used for as long as no newer one came, with no limit on its age. Yet a draining
+server fails its own health check: in the recorded run, probes to draining servers got 503 from 2 s before the
+list told of the drain, and none got 200 after that.
 """
 
 from __future__ import annotations
@@ -39,15 +35,15 @@
     serve_ok,
 )
 
-TOLD_AFTER = 6.0  # s after discovery has a change from which it counts as told, answered or not
-GRACE = 0.3  # s from there in which a request may still go out
-WATCHED = 1.0  # s beyond that
-CALLERS = 4  # at once, so that more than one server is used
+NOTIFIED_AFTER = 6.0  # s after discovery has a change a proxy counts as notified, answered or not
+DRAIN_GRACE = 0.3  # s after that in which a request may still be sent
+OBSERVED_AFTER = 1.0  # s after that for which the test goes on
+CALLERS = 4  # concurrent callers, so that more than one server is used
 SERVICE_TIME = 0.02  # s
 
 
 class HealthCheckedBackend(Backend):
-    """Serves whatever comes, also while it drains; its health check answers 503 from then on."""
+    """Serves every request, also while it drains; from then on its health check answers 503."""
 
     def __init__(self) -> None:
         super().__init__(self._serve)
@@ -73,7 +69,7 @@
 
 
 class FailingDiscovery(Discovery):
-    """Answers what was put, and once that is over fails each call."""
+    """Sends the answers that were queued for it, and after them fails every call."""
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -86,8 +82,8 @@
         writer.close()
 
 
-class LeavingDiscovery(Discovery):
-    """Told to go away it ends what is open, and nobody listens any more."""
+class StoppableDiscovery(Discovery):
+    """Can be stopped: then it closes all connections and refuses new ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -97,7 +93,8 @@
         self.writers.append(writer)
         await super()._connection(reader, writer)
 
-    def go_away(self) -> None:
+    def stop_listening(self) -> None:
+        """Closes the listener and all connections."""
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
@@ -105,80 +102,85 @@
 
 
 class Traffic:
-    """Callers that ask one thing after another; each request has to be served."""
+    """Concurrent callers that send one request after another; each has to be served."""
 
-    def __init__(self, node: Proxy) -> None:
-        self.node = node
+    def __init__(self, running_proxy: Proxy) -> None:
+        self.running_proxy = running_proxy
         self.clock = asyncio.get_running_loop().time
         self.requests = count(1)
 
-    async def until(self, over: Callable[[], bool]) -> None:
+    async def until(self, finished: Callable[[], bool]) -> None:
+        """Runs the callers until `finished` returns True."""
         async with asyncio.TaskGroup() as callers:
             for _ in range(CALLERS):
-                callers.create_task(self._caller(over))
+                callers.create_task(self._caller(finished))
 
     async def until_time(self, end: float) -> None:
+        """Runs the callers until a time on the clock of the event loop."""
         await self.until(lambda: self.clock() >= end)
 
-    async def _caller(self, over: Callable[[], bool]) -> None:
-        caller = await self.node.caller()
-        while not over():
+    async def _caller(self, finished: Callable[[], bool]) -> None:
+        caller = await self.running_proxy.caller()
+        while not finished():
             answer = await caller.call("canje", f"{next(self.requests):016x}", budget="5000m")
             assert answer.code == 200
 
 
-def test_a_server_whose_drain_no_answer_told_of_gets_nothing_once_it_counts_as_told() -> None:
-    """Both servers go on serving; one drains, and discovery is away from just before that. The list may be
-    used for as long as it is; what tells of the drain is the health check."""
+def test_a_draining_server_gets_no_requests_after_the_proxy_counts_as_notified_without_an_answer() -> None:
+    """Both servers go on serving. One begins to drain just after discovery went down. The lease on the list
+    goes on while nobody can reach discovery, so only the health check shows the drain."""
 
     async def test() -> None:
-        leaving, staying = HealthCheckedBackend(), HealthCheckedBackend()
-        discovery = LeavingDiscovery()
+        draining_backend, healthy_backend = HealthCheckedBackend(), HealthCheckedBackend()
+        discovery = StoppableDiscovery()
         await discovery.start()
-        async with proxy({"s-1": leaving, "s-2": staying}, discovery) as node:
-            traffic = Traffic(node)
-            await traffic.until(lambda: leaving.call_count > CALLERS and staying.call_count > CALLERS)
-            discovery.go_away()
-            leaving.draining, drained_at = True, traffic.clock()
-            told_at = drained_at + TOLD_AFTER + GRACE
-            await traffic.until_time(told_at + WATCHED)
-            assert leaving.last_call_at < told_at < staying.last_call_at
+        async with proxy({"s-1": draining_backend, "s-2": healthy_backend}, discovery) as running_proxy:
+            traffic = Traffic(running_proxy)
+            await traffic.until(
+                lambda: draining_backend.call_count > CALLERS and healthy_backend.call_count > CALLERS
+            )
+            discovery.stop_listening()
+            draining_backend.draining, drained_at = True, traffic.clock()
+            notified_at = drained_at + NOTIFIED_AFTER + DRAIN_GRACE
+            await traffic.until_time(notified_at + OBSERVED_AFTER)
+            assert draining_backend.last_call_at < notified_at < healthy_backend.last_call_at
 
     run(test())
 
 
-@pytest.mark.parametrize("away", ["failing", "refusing"])
-def test_a_new_process_sends_nothing_at_all_before_its_first_list(away: str) -> None:
-    """It has the list of before its start, and no one tells it how old that is. A server that left meanwhile
-    may pass its health checks; before, those that passed were sent to."""
+@pytest.mark.parametrize("failure_mode", ["failing", "refusing"])
+def test_a_new_process_sends_nothing_at_all_before_its_first_list(failure_mode: str) -> None:
+    """It has the list from before its start, of unknown age. A server that has left the list since then may
+    still pass its health checks; servers that passed them got requests before the lease on the list was
+    introduced."""
 
     async def test() -> None:
-        leaving, staying = HealthCheckedBackend(), HealthCheckedBackend()
-        leaving.draining = True
-        with reserved_address() as nowhere:
+        draining_backend, healthy_backend = HealthCheckedBackend(), HealthCheckedBackend()
+        draining_backend.draining = True
+        with reserved_address() as closed_address:
             discovery = await FailingDiscovery().start()
-            if away == "refusing":
-                discovery.address = nowhere
-            async with proxy({"s-1": leaving, "s-2": staying}, discovery) as node:
-                answer = await (await node.caller()).call("canje", "1" * 16, budget="1000m")
+            if failure_mode == "refusing":
+                discovery.address = closed_address
+            async with proxy({"s-1": draining_backend, "s-2": healthy_backend}, discovery) as running_proxy:
+                answer = await (await running_proxy.caller()).call("canje", "1" * 16, budget="1000m")
                 assert answer.code == 503 and float(answer.headers["retry-after"]) > 0
-                assert leaving.call_count == staying.call_count == 0
+                assert draining_backend.call_count == healthy_backend.call_count == 0
 
     run(test())
 
 
-def test_servers_that_are_well_are_used_however_long_discovery_is_away() -> None:
-    """A discovery that nobody can reach is no reason to refuse, nor to crowd one of them."""
+def test_healthy_servers_are_used_however_long_discovery_is_down() -> None:
+    """If nobody can reach discovery, requests are neither refused nor all sent to one server."""
 
     async def test() -> None:
-        one, other = HealthCheckedBackend(), HealthCheckedBackend()
-        discovery = LeavingDiscovery()
+        first_backend, second_backend = HealthCheckedBackend(), HealthCheckedBackend()
+        discovery = StoppableDiscovery()
         await discovery.start()
-        async with proxy({"s-1": one, "s-2": other}, discovery) as node:
-            traffic = Traffic(node)
-            discovery.go_away()
-            end = traffic.clock() + TOLD_AFTER + WATCHED
+        async with proxy({"s-1": first_backend, "s-2": second_backend}, discovery) as running_proxy:
+            traffic = Traffic(running_proxy)
+            discovery.stop_listening()
+            end = traffic.clock() + NOTIFIED_AFTER + OBSERVED_AFTER
             await traffic.until_time(end)
-            assert min(one.last_call_at, other.last_call_at) > end - WATCHED
+            assert min(first_backend.last_call_at, second_backend.last_call_at) > end - OBSERVED_AFTER
 
     run(test())
