--- a/granitepoint/faults/__init__.py
+++ b/granitepoint/faults/__init__.py
@@ -1,2 +1,5 @@
-"""Fault injection for real proxies on loopback: servers and a discovery service that fail on command, failing
-system calls, and a checker that verifies the rules from the records of clients, servers and discovery alone."""
+"""Fault injection for real proxies on loopback.
+
+Servers and a discovery service fail on command, a preloaded library makes system calls fail, and a checker
+verifies the rules using only the records of clients, servers and discovery.
+"""
--- a/granitepoint/faults/discovery.py
+++ b/granitepoint/faults/discovery.py
@@ -1,7 +1,7 @@
 """A discovery service that fails on command, and records from which each change counts as notified.
 
-Each proxy calls it at an address of its own, an endpoint, so that calls and answers can be assigned to proxies.
-It speaks the discovery protocol of PROTOCOL: full lists, and watches that are held until something changes.
+Each proxy calls it at an address of its own (an endpoint), which tells whose call it is. The protocol is the
+one that PROTOCOL describes: full lists, and watches that are held until something changes.
 """
 
 from __future__ import annotations
@@ -16,15 +16,14 @@
 
 from granitepoint.fleet.wire import Listener, Message, Peer
 
-# Seconds after which a call fails in mode FAILING_LATE, and after which it fails in the queue when overloaded.
+# Seconds until 503 in mode FAILING_LATE, and until a call fails in the queue of an overloaded service.
 FAILURE_DELAY = 2.0
-NOTIFIED_AFTER = (
-    6.0  # seconds during which discovery had a change and was reachable; then it counts as notified
-)
-NOTIFIED_AFTER_MOVE = 4.0  # seconds after SIGHUP; then all that the new address has counts as notified
-NOTIFIED_AFTER_HOLD = (
-    2.0  # seconds after the end of its hold; then what a silent watch misses counts as notified
-)
+# Seconds; a change counts as notified once discovery had it, and was reachable, for this long.
+NOTIFIED_AFTER = 6.0
+# Seconds after SIGHUP from which everything that discovery has at the new address counts as notified.
+NOTIFIED_AFTER_MOVE = 4.0
+# Seconds after the end of its hold from which everything that a silent watch missed counts as notified.
+NOTIFIED_AFTER_HOLD = 2.0
 MAX_HOLD = 60.0  # seconds
 
 
@@ -192,7 +191,10 @@
                 endpoint.listener.open()
 
     def set_status(self, status: str, *names: str, since_ms: int | None = None) -> Change:
-        """Sets the status of these servers, and their start time in ms if given, in one version of the list."""
+        """Sets the status of servers, and their start time if given, in a single new version of the list.
+
+        `since_ms`: the start time on the wall clock, in milliseconds.
+        """
         self.version += 1
         changed = []
         for name in names:
@@ -237,7 +239,7 @@
             peer.abort()
 
     def enqueue_answer(self, endpoint: DiscoveryEndpoint, peer: Peer, since_version: int | None) -> None:
-        """Answers a call after those that are queued, or fails it if it would wait longer than FAILURE_DELAY."""
+        """Answers a call after the queued ones, or with 503 if it would wait longer than FAILURE_DELAY."""
         now = time.monotonic()
         start = max(now, self.queue_free_at)
         self.queue_free_at = start + (1 / self.calls_per_s if self.calls_per_s < math.inf else 0.0)
@@ -254,7 +256,7 @@
             peer.answer(503)
 
     def reachable_from(self, earliest: float) -> float:
-        """Returns the first time at or after `earliest` from which discovery was reachable for NOTIFIED_AFTER
+        """Returns the first time, `earliest` or later, from which discovery was reachable for NOTIFIED_AFTER
         without interruption; infinity if there has been none so far. Times are monotonic, in seconds."""
         reachable_since = -math.inf
         reachable = True
@@ -269,8 +271,10 @@
         return math.inf
 
     def notified_at(self, endpoint: DiscoveryEndpoint, change: Change) -> float:
-        """Returns the monotonic time from which a change counts as notified to the proxy of an endpoint, whether
-        or not its calls were answered; infinity if that time can't be determined yet."""
+        """Returns the monotonic time from which a change counts as notified to the proxy of an endpoint.
+
+        That is independent of whether the proxy's calls were answered. Infinity: not notified so far.
+        """
         sent = [at for at, version in endpoint.sent_versions if version >= change.version]
         notified_at = self.reachable_from(change.made_at) + NOTIFIED_AFTER
         for watch, silent_since in endpoint.silent_watches.values():
--- a/granitepoint/faults/rig.py
+++ b/granitepoint/faults/rig.py
@@ -24,11 +24,10 @@
 
 READY_TIMEOUT_S = 20.0
 NEW_CONNECTIONS_S = 0.3  # time after SIGTERM during which clients still open connections
-# SIGKILL follows SIGTERM after the longest deadline of a class, capped by the first, and the second in addition.
+# SIGKILL follows SIGTERM after the longest deadline of a class, capped by this maximum, plus this delay.
 SHUTDOWN_MAX_DEADLINE_S, SHUTDOWN_KILL_DELAY_S = 3.0, 0.7
-KILL_DETECTION_S = (
-    0.1  # time after SIGKILL during which a client may still send a request to the dead process
-)
+# Time after SIGKILL during which a client may still send a request to the killed process.
+KILL_DETECTION_S = 0.1
 REQUEST_CLASSES: list[dict[str, Any]] = [
     {"name": "look-up", "value": 1.0, "objective": 0.5, "deadline": 1.0, "effect": "repeatable"},
     {"name": "top-up", "value": 2.0, "objective": 0.8, "deadline": 1.5, "effect": "by_key", "group": "zone",
@@ -80,7 +79,8 @@
         endpoint = self.discovery.add_endpoint()
         settings = {**self.settings, "me": number, "balancers": max(1, self.settings["balancers"])}
         config = {
-            "name": f"n{number}", "discovery": endpoint.address, "seed": f"{self.random.getrandbits(64):016x}",
+            "name": f"n{number}", "discovery": endpoint.address,
+            "seed": f"{self.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": self.current_list(), "settings": settings,
         }  # fmt: skip
@@ -104,7 +104,7 @@
         await self.start_new_process(proxy)
 
     async def kill(self, proxy: ProxyProcess) -> None:
-        """Kills a proxy and exempts the calls that were lost by that from the rules."""
+        """Kills a proxy, and exempts the calls that are lost by that from the rules."""
         killed_at = time.monotonic()
         await proxy.kill()
         await asyncio.sleep(KILL_DETECTION_S)
--- a/granitepoint/faults/soak.py
+++ b/granitepoint/faults/soak.py
@@ -22,10 +22,10 @@
     injected_counts,
 )
 
-FAULT_FREE_START_S = 1.5  # without faults at the start of a run
-FAULT_FREE_END_S = 1.0  # in which no new fault starts at the end of a run
+FAULT_FREE_START_S = 1.5  # time without faults at the start of a run
+FAULT_FREE_END_S = 1.0  # time at the end of a run in which no new fault starts
 CLIENTS_PER_PROXY = 3
-SUSPENSION_S = 0.15  # between SIGSTOP and SIGCONT
+SUSPENSION_S = 0.15  # time between SIGSTOP and SIGCONT
 SYSCALL_FAULTS = {
     "accept": ("ENFILE", "EMFILE", "ECONNABORTED", "ENOBUFS"),
     "connect": ("EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ENOBUFS", "ETIMEDOUT"),
@@ -127,7 +127,11 @@
 
 
 async def run_plan(plan: Plan, folder: Path) -> Report:
-    """Runs a plan. Raises RuntimeError if a proxy exits by itself, TimeoutError if one does not get ready."""
+    """Runs a plan.
+
+    Raises RuntimeError if a proxy exits before it is ready or the library can't be built, and TimeoutError if a
+    proxy is not ready in time; in an ExceptionGroup if that happens at a restart.
+    """
     library = build_library(folder) if compiler_path() is not None else None
     async with soak_harness(folder, plan.seed, plan.servers) as harness:
         harness.settings["balancers"] = plan.proxies
--- a/granitepoint/faults/syscalls.py
+++ b/granitepoint/faults/syscalls.py
@@ -1,4 +1,4 @@
-"""Failing system calls in a proxy: their plan, the C library that carries it out, and the numbers of failures."""
+"""Makes system calls of a proxy fail: a plan, the C library that carries it out, and the failure counts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 
     `call` is accept, socket, connect, read, write, epoll, hold or clock. `fault` is the name of an errno,
     `short`, or the seconds of a hold or of a step of the wall clock. `share` of the calls between `start` and
-    `end` fail; both are in seconds after the start of the process.
+    `end` fail; both are in seconds after the start of the process. A step of the clock always happens, and
+    lasts from `start` on.
     """
 
     call: str
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -28,9 +28,8 @@
 from granitepoint.net.listing import Listing
 
 CALL_COST_LINES = 44  # a call without entries takes as long as this many entries of a list
-MAX_QUEUE_TIME_S = (
-    2.0  # a call that would wait longer is rejected; during an outage calls fail after this time
-)
+# A call that would be queued for longer is rejected. During an outage each call fails after this time.
+MAX_QUEUE_TIME_S = 2.0
 REJECTION_DELAY_S = 0.008
 MIN_WAIT_S = 1e-6  # a shorter wait may not advance the simulated clock
 TICK_S = 0.2  # interval at which each instance is checked
@@ -358,7 +357,7 @@
 
 
 def _await_list(instance: Instance) -> None:
-    """Measures the wait for the next list from now on: discovery is back, and the instance doesn't know it."""
+    """Starts to measure the wait for a list: discovery is back, and the instance has not noticed that yet."""
     instance.list_awaited_since = asyncio.get_running_loop().time()
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -16,7 +16,8 @@
 ) -> None:
     """A round takes 3.5 s, the list changes each second, and a fifth of the fleet restarts meanwhile.
 
-    When all proxies requested full lists, a third had none 4 s after the move, and the last got it after 16 s.
+    When all proxies requested full lists, a third had none 4 s after the move. The last one got its list after
+    16 s.
     """
     result = play(Day(proxies, round_length=3.5, end=40.0, move_at=20.0, restarts=proxies // 5))
     assert result.last_wait < MOVE_TOLD and result.still_waiting == 0
@@ -36,14 +37,14 @@
 
 
 def test_an_outage_twice_as_long_as_usual_leaves_most_of_a_day() -> None:
-    """A discovery service that accepts calls and fails them late gives no proof that it is unreachable, so
-    proxies refuse requests from 6 s on. Of 50 s with an outage of 16 s, each can serve at least three fifths."""
+    """Nothing proves that discovery is unreachable while it accepts calls and fails them late, so proxies
+    refuse requests from 6 s on. Of 50 s with an outage of 16 s, each can serve at least three fifths."""
     result = play(Day(20, round_length=5.0, end=60.0, outage=(12.0, 28.0)))
     assert result.time_without_list < 0.4 * 20 * 50.0
     assert result.last_wait < 5.0 + MAX_QUEUE_TIME_S and result.still_waiting == 0
 
 
 def test_a_day_of_which_most_is_an_outage_is_served_for_half_of_it() -> None:
-    """The acceptance test requires half of what is served otherwise, however long discovery fails calls late."""
+    """Half of what is served without an outage is required, however long calls to discovery fail late."""
     result = play(Day(9, round_length=5.0, end=60.0, outage=(12.0, 44.0)))
     assert result.time_without_list < 0.5 * 9 * 50.0
