--- a/granitepoint/faults/discovery.py
+++ b/granitepoint/faults/discovery.py
@@ -84,9 +84,7 @@
         self.listener.open()
         self.watches: dict[Peer, Watch] = {}
         self.silent_watches: dict[Peer, tuple[Watch, float]] = {}  # with the time since which they are silent
-        self.sent_versions: list[
-            tuple[float, int]
-        ] = []  # the time and the version of each list that was sent
+        self.sent_versions: list[tuple[float, int]] = []  # time and version of each list that was sent
         self.call_count = 0
         self.moved_at = math.inf  # when a new configuration pointed the proxy to this address
 
--- a/granitepoint/faults/soak.py
+++ b/granitepoint/faults/soak.py
@@ -129,8 +129,8 @@
 async def run_plan(plan: Plan, folder: Path) -> Report:
     """Runs a plan.
 
-    Raises RuntimeError if a proxy exits before it is ready or the library can't be built, and TimeoutError if a
-    proxy is not ready in time; in an ExceptionGroup if that happens at a restart.
+    Raises RuntimeError if the library can't be built or a proxy exits before it is ready, and TimeoutError if
+    a proxy is not ready in time; as part of an ExceptionGroup if that happens at a restart.
     """
     library = build_library(folder) if compiler_path() is not None else None
     async with soak_harness(folder, plan.seed, plan.servers) as harness:
--- a/granitepoint/faults/syscalls.c
+++ b/granitepoint/faults/syscalls.c
@@ -33,7 +33,7 @@
 enum kind { ACCEPT, SOCKET, CONNECT, READ, WRITE, EPOLL, HOLD, CLOCK, KIND_COUNT };
 
 static const char *const kind_names[KIND_COUNT] = {"accept", "socket", "connect", "read",
-                                              "write",  "epoll",  "hold",    "clock"};
+                                                   "write",  "epoll",  "hold",    "clock"};
 
 struct rule {
     enum kind kind;
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -264,7 +264,8 @@
     seed: int = 1
 
 
-MOVE_ROUND_SHARE = 0.6  # of a round; all proxies are moved to the new address in this time
+# All proxies are moved to the new address within this share of a round, so faster than discovery can answer.
+MOVE_ROUND_SHARE = 0.6
 WARM_UP_S = 10.0  # results are measured after this time
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -16,8 +16,8 @@
 ) -> None:
     """A round takes 3.5 s, the list changes each second, and a fifth of the fleet restarts meanwhile.
 
-    When all proxies requested full lists, a third had none 4 s after the move. The last one got its list after
-    16 s.
+    When all proxies requested full lists, a third had none 4 s after the move. The last one got its
+    list after 16 s.
     """
     result = play(Day(proxies, round_length=3.5, end=40.0, move_at=20.0, restarts=proxies // 5))
     assert result.last_wait < MOVE_TOLD and result.still_waiting == 0
