--- a/tests/test_stale_lists.py
+++ b/tests/test_stale_lists.py
@@ -24,7 +24,7 @@
 from netkit import run
 
 from granitepoint.faults.discovery import Mode
-from granitepoint.faults.rig import rig
+from granitepoint.faults.rig import soak_harness
 
 NOTIFIED_AFTER = 6.3  # s after a change until the proxy counts as notified, including the grace period
 CLIENTS = 4  # concurrent clients
@@ -36,18 +36,18 @@
     """From the change on every call to discovery is queued and fails, so discovery could be reached."""
 
     async def test() -> None:
-        async with rig(tmp_path, 1, servers=3) as test_rig:
+        async with soak_harness(tmp_path, 1, servers=3) as test_rig:
             proxy = await test_rig.add_proxy()
-            await test_rig.ready()
+            await test_rig.wait_until_ready()
             clients = test_rig.start_clients(proxy, CLIENTS)
             await asyncio.sleep(1.0)
             test_rig.discovery.set_mode(Mode.FAILING_LATE)
-            test_rig.discovery.change("Gone", "s-0000")
+            test_rig.discovery.set_status("Gone", "s-0000")
             await asyncio.sleep(NOTIFIED_AFTER + 1.0)
             test_rig.clients[0].stopped = True
             await clients
             assert test_rig.servers["s-0000"].attempts
-            assert test_rig.breaks() == []
+            assert test_rig.find_violations() == []
 
     run(test())
 
@@ -58,17 +58,17 @@
     """That is 4 s after SIGHUP. The new address fails every call, and the server passes its checks."""
 
     async def test() -> None:
-        async with rig(tmp_path, 1, servers=3) as test_rig:
+        async with soak_harness(tmp_path, 1, servers=3) as test_rig:
             proxy = await test_rig.add_proxy()
-            await test_rig.ready()
+            await test_rig.wait_until_ready()
             clients = test_rig.start_clients(proxy, CLIENTS)
             await asyncio.sleep(1.2)
             test_rig.discovery.set_mode(Mode.FAILING_LATE)
-            test_rig.discovery.change("Gone", "s-0000")
-            test_rig.move(proxy)
+            test_rig.discovery.set_status("Gone", "s-0000")
+            test_rig.move_discovery(proxy)
             await asyncio.sleep(NOTIFIED_AFTER + 0.5)
             test_rig.clients[0].stopped = True
             await clients
-            assert test_rig.breaks() == []
+            assert test_rig.find_violations() == []
 
     run(test())
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -14,15 +14,15 @@
 import pytest
 from netkit import endpoint, listing, run
 
-from granitepoint.faults.rig import rig
-from granitepoint.faults.syscalls import Fault, build, compiler, environment
+from granitepoint.faults.rig import soak_harness
+from granitepoint.faults.syscalls import SyscallFault, build_library, compiler_path, fault_environment
 from granitepoint.membership.start_times import MAX_NEW_START_AGE, StartTimes
 from granitepoint.net.listing import read_listing
 
 OTHER_CLOCK = 1.7e9  # s that the clock of the lists is ahead of the instance's clock, unknown to the instance
 
 
-@pytest.mark.skipif(compiler() is None, reason="needs a C compiler")
+@pytest.mark.skipif(compiler_path() is None, reason="needs a C compiler")
 @pytest.mark.parametrize("clock_step", ["0", "3600", "-3600", "5"])
 def test_a_proxy_whose_clock_was_stepped_before_its_start_limits_the_load_of_a_cold_server(
     clock_step: str, tmp_path: Path
@@ -31,15 +31,15 @@
     server gets: its capacity is 0.4 of theirs, and all instances may use half of three times that."""
 
     async def test() -> None:
-        async with rig(tmp_path, 1, servers=10) as test_rig:
+        async with soak_harness(tmp_path, 1, servers=10) as test_rig:
             test_rig.settings["contract"].update(cold=20.0, cold_from=0.1)
             test_rig.discovery.entries["s-0000"].since_ms = int(time.time() * 1000)
-            faults = [Fault("clock", clock_step, 1.0, 0.0, 60.0)] if clock_step != "0" else []
+            faults = [SyscallFault("clock", clock_step, 1.0, 0.0, 60.0)] if clock_step != "0" else []
             environment_variables = (
-                environment(build(tmp_path), faults, 1, tmp_path / "counts") if faults else {}
+                fault_environment(build_library(tmp_path), faults, 1, tmp_path / "counts") if faults else {}
             )
             proxy = await test_rig.add_proxy(environment_variables)
-            await test_rig.ready()
+            await test_rig.wait_until_ready()
             clients = test_rig.start_clients(proxy, 12)
             await asyncio.sleep(2.0)
             test_rig.clients[0].stopped = True
