--- a/granitepoint/faults/clients.py
+++ b/granitepoint/faults/clients.py
@@ -9,7 +9,7 @@
 from itertools import count
 from random import Random
 
-from granitepoint.fleet.wire import Answer, Link
+from granitepoint.fleet.wire import Answer, HttpConnection
 
 NEW_CONNECTION = 0.2  # share of the requests that are sent on a new connection
 THINKS = (0.01, 0.08)  # s between an answer and the next request
@@ -60,7 +60,7 @@
                 group.create_task(self._client())
 
     async def _client(self) -> None:
-        link: Link | None = None
+        link: HttpConnection | None = None
         while not self.stopped:
             if link is not None and (not link.reusable or self.random.random() < NEW_CONNECTION):
                 link.abort()
@@ -71,13 +71,13 @@
         if link is not None:
             link.abort()
 
-    async def _request(self, link: Link | None) -> Link | None:
+    async def _request(self, link: HttpConnection | None) -> HttpConnection | None:
         kind = self.random.choice(self.kinds)
         call = f"{self.numbers():016x}"
         new = link is None
         try:
             if link is None:
-                link = Link()
+                link = HttpConnection()
                 await link.connect(*self.address)
         except OSError:
             return None  # the proxy has not taken it
@@ -85,8 +85,8 @@
         self.requests.append(made)
         try:
             async with asyncio.timeout(kind.budget + SPARE):
-                answer: Answer = await link.ask(message(kind, call))
-            made.code, made.ended = answer.code, answer.came
+                answer: Answer = await link.send_request(message(kind, call))
+            made.code, made.ended = answer.code, answer.received_at
             return link
         except (OSError, TimeoutError) as fault:
             made.fault, made.ended = type(fault).__name__, time.monotonic()
--- a/granitepoint/faults/discovery.py
+++ b/granitepoint/faults/discovery.py
@@ -88,16 +88,16 @@
     def address(self) -> str:
         return self.listener.address
 
-    def joined(self, peer: Peer) -> None:
+    def on_connect(self, peer: Peer) -> None:
         pass
 
-    def left(self, peer: Peer) -> None:
+    def on_disconnect(self, peer: Peer) -> None:
         self.silenced.pop(peer, None)
         watch = self.watches.pop(peer, None)
         if watch is not None:
             watch.end.cancel()
 
-    def asked(self, peer: Peer, message: Message) -> None:
+    def on_request(self, peer: Peer, message: Message) -> None:
         self.calls += 1
         query = parse_qs(message.target.partition("?")[2])
         version = int(query["from"][0]) if "from" in query else None
--- a/granitepoint/faults/servers.py
+++ b/granitepoint/faults/servers.py
@@ -40,19 +40,19 @@
     def address(self) -> str:
         return self.listener.address
 
-    def joined(self, peer: Peer) -> None:
+    def on_connect(self, peer: Peer) -> None:
         pass
 
-    def left(self, peer: Peer) -> None:
+    def on_disconnect(self, peer: Peer) -> None:
         pass
 
-    def asked(self, peer: Peer, message: Message) -> None:
+    def on_request(self, peer: Peer, message: Message) -> None:
         if message.target in ("/load", "/healthz"):
             self.checks += 1
             peer.answer(200 if self.passes_checks else 503, b"inflight=0,queue=0")
             return
         budget = int(message.headers["x-budget"].removesuffix("u")) / 1e6
-        attempt = Attempt(message.headers["x-call-id"], self.name, message.came, budget)
+        attempt = Attempt(message.headers["x-call-id"], self.name, message.received_at, budget)
         self.attempts.append(attempt)
         if self.hangs:
             return
--- a/granitepoint/fleet/__init__.py
+++ b/granitepoint/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for all that surrounds a proxy, and a fleet of proxies among them, to measure what grows.
+"""Test fleet: simulated backends, discovery and callers around real or hollow proxies.
 
-Nothing here is imported by the proxy itself. The libraries are those of the extra `fleet`.
+It measures how the costs of a proxy grow with the size of the fleet. The proxy itself imports nothing of this
+package. The libraries needed are those of the extra `fleet`.
 """
--- a/granitepoint/fleet/backends.py
+++ b/granitepoint/fleet/backends.py
@@ -1,4 +1,7 @@
-"""Hollow backends: they answer as PROTOCOL has it after a drawn time, and do no work meanwhile."""
+"""Hollow backends: simulated servers, many to a process, that answer after a randomly drawn time.
+
+They follow PROTOCOL but do no work while a request "runs", so that a process can hold hundreds of them.
+"""
 
 from __future__ import annotations
 
@@ -13,25 +16,26 @@
 from granitepoint.fleet.wire import Listener, Message, Peer
 from granitepoint.interface import Settings
 
-BLOCK = 4096  # draws at a time
-SWEEP = 1.0  # s between looks for idle connections
-Inner = Callable[["Backend", Message], asyncio.Task[bool]]  # calls below; whether all were served
+DRAW_BATCH_SIZE = 4096  # random numbers that are drawn at a time
+IDLE_SWEEP_INTERVAL_S = 1.0
+# Starts a backend's own calls to the next service; the result is whether all of them were served.
+NextServiceCalls = Callable[["Backend", Message], asyncio.Task[bool]]
 
 
-def draw_times(sizes: BackendSizes, seed: int) -> Iterator[float]:
-    """Seconds of service, log-normal about the stated mean."""
+def draw_service_times(sizes: BackendSizes, seed: int) -> Iterator[float]:
+    """Yields service times in seconds, log-normally distributed with the configured mean."""
     rng = np.random.default_rng(seed)
     mean = sizes.service_ms / 1000
     while True:
         if sizes.spread <= 0 or mean <= 0:
-            yield from [mean] * BLOCK
+            yield from [mean] * DRAW_BATCH_SIZE
         else:
-            centre = np.log(mean) - sizes.spread**2 / 2
-            yield from rng.lognormal(centre, sizes.spread, BLOCK).tolist()
+            log_mean = np.log(mean) - sizes.spread**2 / 2
+            yield from rng.lognormal(log_mean, sizes.spread, DRAW_BATCH_SIZE).tolist()
 
 
 class Backend:
-    """One machine of a service. Its states: stopped, serving (cold at first, after a restart), draining."""
+    """One server of a service: stopped, serving (cold for a while after a restart) or draining."""
 
     def __init__(
         self,
@@ -40,144 +44,159 @@
         hosts: list[str],
         sizes: BackendSizes,
         settings: Settings,
-        times: Iterator[float],
-        fails: Iterator[float],
-        inner: Inner | None = None,
+        service_times: Iterator[float],
+        failure_draws: Iterator[float],
+        start_next_calls: NextServiceCalls | None = None,
     ) -> None:
         self.name, self.zone, self.sizes, self.settings = name, zone, sizes, settings
-        self.times, self.fails, self.inner = times, fails, inner
+        self.service_times, self.failure_draws, self.start_next_calls = (
+            service_times,
+            failure_draws,
+            start_next_calls,
+        )
         self.listeners = [Listener(self, host) for host in hosts]  # one for the callers of each region
         self.counts: Counter[str] = Counter()
         self.draining = False
         self.cold_since = 0.0  # monotonic; 0: warm
-        self.life = 0  # of the process: what an earlier one had begun is void
+        self.generation = 0  # of the simulated process; requests started by an earlier one are dropped
         self.running = 0
-        self.waiting: deque[tuple[Peer, Message, float]] = deque()
-        self.offered: deque[tuple[float, float]] = deque()  # work that came while cold: when, s
-        self.offered_sum = 0.0
-        self.inner_tasks: set[asyncio.Task[bool]] = set()
+        self.queue: deque[tuple[Peer, Message, float]] = deque()
+        self.cold_work: deque[tuple[float, float]] = deque()  # received while cold: monotonic time, seconds
+        self.cold_work_sum = 0.0  # seconds of service time in `cold_work`
+        self.next_calls_tasks: set[asyncio.Task[bool]] = set()
 
-    # life
+    # Lifecycle
     def start(self, cold: bool = False) -> None:
+        """Starts serving; with `cold`, at reduced capacity at first."""
         self.draining = False
         self.cold_since = time.monotonic() if cold else 0.0
-        self.offered.clear()
-        self.offered_sum = 0.0
+        self.cold_work.clear()
+        self.cold_work_sum = 0.0
         for listener in self.listeners:
             listener.open()
 
     def drain(self) -> None:
+        """Finishes accepted requests and rejects new ones."""
         self.draining = True
 
     def stop(self) -> None:
-        """As a killed process: connections are reset, new ones refused."""
-        self.life += 1
+        """Simulates a killed process: connections are reset and new ones refused."""
+        self.generation += 1
         self.running = 0
-        self.waiting.clear()
-        for task in self.inner_tasks:
+        self.queue.clear()
+        for task in self.next_calls_tasks:
             task.cancel()
         for listener in self.listeners:
             listener.refuse()
 
     @property
     def connections(self) -> int:
+        """Number of open connections."""
         return sum(len(listener.peers) for listener in self.listeners)
 
     def capacity(self, now: float) -> float:
-        """Share of its full capacity: a cold one warms evenly."""
+        """Returns the fraction of the full capacity; that of a cold backend grows linearly."""
         if not self.cold_since:
             return 1.0
         age = (now - self.cold_since) / max(1e-9, self.settings.cold_for)
         return min(1.0, self.settings.cold_from + (1 - self.settings.cold_from) * age)
 
     def close_idle(self) -> None:
+        """Closes connections that have been idle for longer than the settings allow."""
         before = time.monotonic() - self.settings.conn_idle
         for listener in self.listeners:
             for peer in list(listener.peers):
-                if peer.used_at < before and not peer.silent:
+                if peer.last_active_at < before and not peer.silent:
                     peer.close()
 
-    # connections
-    def joined(self, peer: Peer) -> None:
+    # Connection events
+    def on_connect(self, peer: Peer) -> None:
+        """Implements ConnectionHandler."""
         self.counts["connections"] += 1
 
-    def left(self, peer: Peer) -> None:
+    def on_disconnect(self, peer: Peer) -> None:
+        """Implements ConnectionHandler."""
         pass
 
-    def asked(self, peer: Peer, message: Message) -> None:
+    def on_request(self, peer: Peer, message: Message) -> None:
+        """Implements ConnectionHandler: answers a probe, rejects a request or accepts it."""
         path = message.target.partition("?")[0]
         if path in ("/load", "/healthz") and self.settings.may_probe:
-            self._probed(peer, path, message.size)
+            self._answer_probe(peer, path, message.size)
         elif not message.headers.get("x-call-id"):
             peer.answer(404)
         elif self.draining:
-            self._turn_away(peer, "draining")
-        elif self.connections > self.sizes.connections and peer.taken == 1:
-            self._turn_away(peer, "too many connections")
-        elif len(self.waiting) >= self.sizes.queue and self.running >= self.sizes.cores:
-            self._turn_away(peer, "queue full")
+            self._reject(peer, "draining")
+        elif self.connections > self.sizes.connections and peer.request_count == 1:
+            self._reject(peer, "too many connections")
+        elif len(self.queue) >= self.sizes.queue and self.running >= self.sizes.cores:
+            self._reject(peer, "queue full")
         else:
-            self._take(peer, message)
+            self._accept(peer, message)
 
-    def _probed(self, peer: Peer, path: str, size: int) -> None:
+    def _answer_probe(self, peer: Peer, path: str, size: int) -> None:
         self.counts["probes"] += 1
         before = peer.listener.bytes_out
         if path == "/load" and self.settings.reports == "none":
             peer.answer(404)
         else:
-            report = f"inflight={self.running + len(self.waiting)},queue={len(self.waiting)}".encode()
+            report = f"inflight={self.running + len(self.queue)},queue={len(self.queue)}".encode()
             peer.answer(503 if self.draining else 200, report if path == "/load" else b"ok\n")
         self.counts["probe bytes"] += size + peer.listener.bytes_out - before
 
-    def _turn_away(self, peer: Peer, why: str) -> None:
-        self.counts[f"turned away: {why}"] += 1
-        peer.answer(503, why.encode() + b"\n", X_Rejected="1")
+    def _reject(self, peer: Peer, reason: str) -> None:
+        self.counts[f"turned away: {reason}"] += 1
+        peer.answer(503, reason.encode() + b"\n", X_Rejected="1")
 
-    def _take(self, peer: Peer, message: Message) -> None:
+    def _accept(self, peer: Peer, message: Message) -> None:
         now = time.monotonic()
         capacity = self.capacity(now)
-        work = next(self.times) + (self.sizes.handshake_ms / 1000 if peer.taken == 1 else 0.0)
+        work = next(self.service_times) + (self.sizes.handshake_ms / 1000 if peer.request_count == 1 else 0.0)
         self.counts["begun"] += 1
-        if capacity < 1 and self._falls(now, capacity, work):
+        if capacity < 1 and self._crashes_cold(now, capacity, work):
             self.counts["fell over cold"] += 1
             self.stop()
             return
-        self.waiting.append((peer, message, work / capacity))
+        self.queue.append((peer, message, work / capacity))
         self._serve_next()
 
-    def _falls(self, now: float, capacity: float, work: float) -> bool:
-        """Whether a cold backend has been sent more than it can bear within the span of the settings."""
+    def _crashes_cold(self, now: float, capacity: float, work: float) -> bool:
+        """Adds `work` seconds; whether a cold backend now crashes of overload.
+
+        It does if the work received within `fall_within` exceeds `fall_multiple` times what its reduced
+        capacity can do in that time.
+        """
         span = self.settings.fall_within
-        self.offered.append((now, work))
-        self.offered_sum += work
-        while self.offered[0][0] < now - span:
-            self.offered_sum -= self.offered.popleft()[1]
-        return self.offered_sum > self.settings.fall_multiple * capacity * self.sizes.cores * span
+        self.cold_work.append((now, work))
+        self.cold_work_sum += work
+        while self.cold_work[0][0] < now - span:
+            self.cold_work_sum -= self.cold_work.popleft()[1]
+        return self.cold_work_sum > self.settings.fall_multiple * capacity * self.sizes.cores * span
 
     def _serve_next(self) -> None:
         loop = asyncio.get_running_loop()
-        while self.waiting and self.running < self.sizes.cores:
-            peer, message, takes = self.waiting.popleft()
+        while self.queue and self.running < self.sizes.cores:
+            peer, message, service_time = self.queue.popleft()
             self.running += 1
-            loop.call_later(takes, self._served, self.life, peer, message)
+            loop.call_later(service_time, self._on_served, self.generation, peer, message)
 
-    def _served(self, life: int, peer: Peer, message: Message) -> None:
-        if life != self.life:
+    def _on_served(self, generation: int, peer: Peer, message: Message) -> None:
+        if generation != self.generation:
             return
         self.running -= 1
         self._serve_next()
-        if next(self.fails) < self.sizes.fail_share:
+        if next(self.failure_draws) < self.sizes.fail_share:
             self.counts["failed"] += 1
             peer.answer(500)
-        elif self.inner is None:
+        elif self.start_next_calls is None:
             self._answer(peer, message)
         else:
-            task = self.inner(self, message)
-            self.inner_tasks.add(task)
-            task.add_done_callback(lambda done: self._inner_ended(done, peer, message))
+            task = self.start_next_calls(self, message)
+            self.next_calls_tasks.add(task)
+            task.add_done_callback(lambda done: self._on_next_calls_done(done, peer, message))
 
-    def _inner_ended(self, task: asyncio.Task[bool], peer: Peer, message: Message) -> None:
-        self.inner_tasks.discard(task)
+    def _on_next_calls_done(self, task: asyncio.Task[bool], peer: Peer, message: Message) -> None:
+        self.next_calls_tasks.discard(task)
         if task.cancelled():
             return
         if task.exception() is None and task.result():
@@ -187,16 +206,17 @@
             peer.answer(500)
 
     def _answer(self, peer: Peer, message: Message) -> None:
-        """The header tells when the request's last byte came and when the answer left, in monotonic us."""
-        span = f"{message.came * 1e6:.0f},{time.monotonic() * 1e6:.0f}"
+        """Answers with 200. X-Span holds the times, in monotonic us, at which the last byte of the request
+        was received and the answer was written."""
+        span = f"{message.received_at * 1e6:.0f},{time.monotonic() * 1e6:.0f}"
         body = message.headers["x-call-id"].encode()
-        done = peer.answer(200, body, X_Span=span)
-        self.counts["served" if done else "served to nobody"] += 1
+        written = peer.answer(200, body, X_Span=span)
+        self.counts["served" if written else "served to nobody"] += 1
 
 
 async def sweep_idle(backends: list[Backend]) -> None:
-    """Closes idle connections, until cancelled."""
+    """Closes idle connections of these backends periodically, until cancelled."""
     while True:
-        await asyncio.sleep(SWEEP)
+        await asyncio.sleep(IDLE_SWEEP_INTERVAL_S)
         for backend in backends:
             backend.close_idle()
--- a/granitepoint/fleet/callers.py
+++ b/granitepoint/fleet/callers.py
@@ -1,5 +1,8 @@
-"""Open-loop callers behind a front. Latency counts from the planned send, so that a slow answer can't hide
-the calls that should have been sent meanwhile."""
+"""Open-loop load generator: simulated callers behind a load balancer, the front.
+
+Latency counts from the planned send, so that a slow answer can't hide the calls that should have been sent
+meanwhile (coordinated omission).
+"""
 
 from __future__ import annotations
 
@@ -13,123 +16,134 @@
 import numpy as np
 
 from granitepoint.fleet.measure import Histogram
-from granitepoint.fleet.wire import Answer, Link, split_address
+from granitepoint.fleet.wire import Answer, HttpConnection, split_address
 from granitepoint.interface import Effect, RequestClass
 
-SPIN = 0.0015  # s before a planned send from which the loop is not left to its timers, which are coarse
-LOOK = 1.0  # s that a look at /healthz may take
+BUSY_WAIT_S = (
+    0.0015  # last part of the wait for a planned send; timers of the event loop are too coarse for it
+)
+HEALTH_CHECK_TIMEOUT_S = 1.0
 
 
-class NoProxy(Exception):
-    """The front knows of none."""
+class NoProxyAvailable(Exception):
+    """The front knows of no live proxy, or the chosen one refused the connection."""
 
 
-class Left(Exception):
-    """The connection ended before an answer."""
+class ConnectionLost(Exception):
+    """The connection ended before a complete answer."""
 
 
 @dataclass(slots=True)
-class Place:
+class ProxyTarget:
     """A proxy as the front knows it."""
 
     address: tuple[str, int]
     zone: str
-    up: bool = False
-    links: list[Link] = field(default_factory=list)
+    up: bool = False  # the last health check succeeded
+    idle_connections: list[HttpConnection] = field(default_factory=list)
 
 
 class Front:
-    """Deals out connections among the proxies of a zone; of all zones, where the own has none left."""
-
-    def __init__(self, places: list[Place], notice: float) -> None:
-        self.places, self.notice = places, notice
-        self.turn: Counter[str] = Counter()
-        self.by_zone: dict[str, list[Place]] = {}
-        self.looks = 0  # at /healthz
-        self._sort()
-
-    def _sort(self) -> None:
-        self.by_zone.clear()
-        for place in self.places:
-            if place.up:
-                self.by_zone.setdefault(place.zone, []).append(place)
-
-    async def look(self, place: Place) -> None:
-        """One look at /healthz."""
-        self.looks += 1
-        link = Link()
+    """Load balancer in front of the proxies.
+
+    It takes the live proxies of a zone in round-robin order, or those of all zones if that zone has none.
+    """
+
+    def __init__(self, proxies: list[ProxyTarget], check_interval: float) -> None:
+        self.proxies, self.check_interval = proxies, check_interval  # s between the checks of one proxy
+        self.round_robin: Counter[str] = Counter()  # choices made so far, by zone
+        self.live_by_zone: dict[str, list[ProxyTarget]] = {}
+        self.health_checks = 0
+        self._update_live()
+
+    def _update_live(self) -> None:
+        self.live_by_zone.clear()
+        for proxy in self.proxies:
+            if proxy.up:
+                self.live_by_zone.setdefault(proxy.zone, []).append(proxy)
+
+    async def check_health(self, proxy: ProxyTarget) -> None:
+        """Requests /healthz once and updates the proxy's state."""
+        self.health_checks += 1
+        connection = HttpConnection()
         try:
-            async with asyncio.timeout(LOOK):
-                await link.connect(*place.address)
-                place.up = (await link.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")).code == 200
+            async with asyncio.timeout(HEALTH_CHECK_TIMEOUT_S):
+                await connection.connect(*proxy.address)
+                proxy.up = (
+                    await connection.send_request(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+                ).code == 200
         except (OSError, TimeoutError):
-            place.up = False
+            proxy.up = False
         finally:
-            link.abort()
-            self._sort()
+            connection.abort()
+            self._update_live()
 
-    async def until_ready(self) -> None:
-        """Until every proxy has answered 200."""
-        while waiting := [place for place in self.places if not place.up]:
-            await asyncio.gather(*(self.look(place) for place in waiting[:64]))
+    async def wait_until_ready(self) -> None:
+        """Checks all proxies until each has answered 200."""
+        while waiting := [proxy for proxy in self.proxies if not proxy.up]:
+            await asyncio.gather(*(self.check_health(proxy) for proxy in waiting[:64]))
             await asyncio.sleep(0.02)
 
-    async def keep_looking(self) -> None:
-        """Until cancelled: each proxy once in `notice` seconds, spread evenly."""
+    async def run_health_checks(self) -> None:
+        """Checks each proxy every `check_interval` seconds, evenly spread, until cancelled."""
         while True:
-            for place in list(self.places):
-                await asyncio.sleep(self.notice / len(self.places))
-                await self.look(place)
-
-    def choose(self, zone: str) -> Place:
-        """Raises NoProxy."""
-        places = self.by_zone.get(zone) or [place for place in self.places if place.up]
-        if not places:
-            raise NoProxy
-        self.turn[zone] += 1
-        return places[self.turn[zone] % len(places)]
-
-    async def ask(self, zone: str, data: bytes) -> Answer:
-        """A request that crosses the close of a kept connection is sent once more, on a new one."""
-        place = self.choose(zone)
-        while place.links:
-            link = place.links.pop()
-            if link.transport is not None and not link.transport.is_closing():
+            for proxy in list(self.proxies):
+                await asyncio.sleep(self.check_interval / len(self.proxies))
+                await self.check_health(proxy)
+
+    def choose(self, zone: str) -> ProxyTarget:
+        """Returns the next proxy for callers of this zone. Raises NoProxyAvailable."""
+        proxies = self.live_by_zone.get(zone) or [proxy for proxy in self.proxies if proxy.up]
+        if not proxies:
+            raise NoProxyAvailable
+        self.round_robin[zone] += 1
+        return proxies[self.round_robin[zone] % len(proxies)]
+
+    async def send_request(self, zone: str, data: bytes) -> Answer:
+        """Sends a serialized request through a proxy of the zone and returns the answer.
+
+        If the proxy closes an idle connection just as the request is sent on it, the request is sent once
+        more, on a new connection. Raises NoProxyAvailable and ConnectionLost.
+        """
+        proxy = self.choose(zone)
+        while proxy.idle_connections:
+            connection = proxy.idle_connections.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
                 try:
-                    return await self._on(place, link, data)
+                    return await self._send_on(proxy, connection, data)
                 except ConnectionError:
-                    if link.heard:
-                        raise Left from None
+                    if connection.answer_started:
+                        raise ConnectionLost from None
                     break
-        link = Link()
+        connection = HttpConnection()
         try:
-            await link.connect(*place.address)
-            return await self._on(place, link, data)
+            await connection.connect(*proxy.address)
+            return await self._send_on(proxy, connection, data)
         except ConnectionRefusedError:
-            raise NoProxy from None
+            raise NoProxyAvailable from None
         except OSError:
-            raise Left from None
+            raise ConnectionLost from None
 
     @staticmethod
-    async def _on(place: Place, link: Link, data: bytes) -> Answer:
+    async def _send_on(proxy: ProxyTarget, connection: HttpConnection, data: bytes) -> Answer:
         try:
-            answer = await link.ask(data)
+            answer = await connection.send_request(data)
         except BaseException:
-            link.abort()
+            connection.abort()
             raise
-        if link.reusable:
-            place.links.append(link)
+        if connection.reusable:
+            proxy.idle_connections.append(connection)
         else:
-            link.abort()
+            connection.abort()
         return answer
 
 
-def request(cls: RequestClass, call_id: str, budget: float, again: bool) -> bytes:
-    """As PROTOCOL has it; `budget` in seconds."""
+def build_request(cls: RequestClass, call_id: str, budget: float, is_retry: bool) -> bytes:
+    """Returns a request in the format of PROTOCOL; `budget` is in seconds."""
     method = "GET" if cls.effect is Effect.REPEATABLE else "POST"
     lines = [f"{method} /{cls.name} HTTP/1.1", "Host: service.internal", f"X-Call-Id: {call_id}"]
     lines.append(f"X-Budget: {max(1, round(budget * 1e6))}u")
-    if again:
+    if is_retry:
         lines.append("X-Again: 1")
     if cls.effect is Effect.BY_KEY:
         lines.append(f"Idempotency-Key: k{call_id}")
@@ -139,23 +153,28 @@
 
 
 class Tally:
-    """What became of the calls, by class and by second of their planned send."""
+    """Outcomes and latencies of the calls."""
 
     def __init__(self) -> None:
-        self.latency: dict[str, Histogram] = {}  # planned send to last byte, of what was served
-        self.added = Histogram()  # what a first try took beyond its backend's own time
-        self.late_sends = Histogram()  # by how much the caller itself was late
-        self.by_second: dict[int, Counter[str]] = {}
-        self.sent = 0  # tries
-        self.by_zone: Counter[str] = Counter()
-
-    def note(self, second: int, zone: str, outcome: str) -> None:
+        # By class: from the planned send to the last byte of the answer, of served calls.
+        self.latency: dict[str, Histogram] = {}
+        self.added_latency = Histogram()  # of served first tries: duration less the backend's own time
+        self.send_delay = (
+            Histogram()
+        )  # from the planned to the actual send: lateness of the callers themselves
+        self.by_second: dict[int, Counter[str]] = {}  # outcomes by second of the planned send
+        self.tries = 0
+        self.by_zone: Counter[str] = Counter()  # keys: zone and outcome
+
+    def record_outcome(self, second: int, zone: str, outcome: str) -> None:
+        """Counts a call that has ended; `second` is that of its planned send, from the start of the
+        measurement."""
         self.by_second.setdefault(second, Counter())[outcome] += 1
         self.by_zone[f"{zone} {outcome}"] += 1
 
 
 class Callers:
-    """Sends what is planned when it is planned, whatever has become of the calls before."""
+    """Sends calls at planned times, independently of how earlier calls fare."""
 
     def __init__(
         self,
@@ -171,105 +190,122 @@
         self.classes = [cls for cls in classes if mix.get(cls.name, 0.0 if mix else 1.0) > 0]
         shares = np.array([mix.get(cls.name, 1.0) for cls in self.classes])
         self.shares = shares / shares.sum()
-        self.retries, self.retry_wait = retries, retry_wait
+        self.retries, self.retry_wait = retries, retry_wait  # further tries; s before the first, then doubled
         self.seed = seed
         self.rng = np.random.default_rng(seed)
         self.tally = Tally()
-        self.counting_from = 0.0  # monotonic: what is planned before is not counted
+        self.measured_from = 0.0  # monotonic; calls that are planned for before are not counted
         self.calls: set[asyncio.Task[None]] = set()
-        self.ids = self._ids()
+        self.call_ids = self._generate_call_ids()
 
-    def _ids(self) -> Iterator[str]:
+    def _generate_call_ids(self) -> Iterator[str]:
         number = 0
         while True:
             number += 1
             yield f"{self.seed & 0xFFFFFFFF:08x}{number:08x}"
 
-    def plan(self, rate: float, begin: float, end: float) -> list[float]:
-        """The times of a Poisson process; none is moved by what happens."""
+    def plan_sends(self, rate: float, begin: float, end: float) -> list[float]:
+        """Draws the send times of a Poisson process with `rate` calls per second, in order.
+
+        `begin`, `end` and the results are monotonic times in seconds. The times are fixed in advance and
+        don't depend on how calls end.
+        """
         if rate <= 0 or end <= begin:
             return []
-        most = int(rate * (end - begin) + 10 * (rate * (end - begin)) ** 0.5 + 10)
-        times = begin + np.cumsum(self.rng.exponential(1 / rate, most))
+        max_count = int(rate * (end - begin) + 10 * (rate * (end - begin)) ** 0.5 + 10)
+        times = begin + np.cumsum(self.rng.exponential(1 / rate, max_count))
         return [float(time) for time in times[times < end]]
 
     async def run(self, rate: float, begin: float, end: float) -> None:
-        """Until all calls that were planned have ended."""
-        planned = self.plan(rate, begin, end)
-        kinds = self.rng.choice(len(self.classes), size=len(planned), p=self.shares).tolist()
-        zones = self.rng.integers(0, len(self.zones), size=len(planned)).tolist()
+        """Plans and sends calls (see `plan_sends`), and returns when all have ended."""
+        planned = self.plan_sends(rate, begin, end)
+        class_indices = self.rng.choice(len(self.classes), size=len(planned), p=self.shares).tolist()
+        zone_indices = self.rng.integers(0, len(self.zones), size=len(planned)).tolist()
         loop = asyncio.get_running_loop()
-        for at, kind, zone in zip(planned, kinds, zones, strict=True):
-            wait = at - time.monotonic()
-            if wait > SPIN:
-                await asyncio.sleep(wait - SPIN)
-            while time.monotonic() < at:
+        for planned_at, class_index, zone_index in zip(planned, class_indices, zone_indices, strict=True):
+            wait = planned_at - time.monotonic()
+            if wait > BUSY_WAIT_S:
+                await asyncio.sleep(wait - BUSY_WAIT_S)
+            while time.monotonic() < planned_at:
                 await asyncio.sleep(0)
-            task = loop.create_task(self.call(self.classes[kind], self.zones[zone], at))
+            task = loop.create_task(self.call(self.classes[class_index], self.zones[zone_index], planned_at))
             self.calls.add(task)
             task.add_done_callback(self.calls.discard)
         if self.calls:
             await asyncio.wait(set(self.calls))
 
-    async def call(self, cls: RequestClass, zone: str, planned: float) -> None:
-        deadline = planned + cls.deadline
-        tally, counted = self.tally, planned >= self.counting_from
+    async def call(self, cls: RequestClass, zone: str, planned_at: float) -> None:
+        """Makes one call, with retries, and records its outcome; `planned_at` is a monotonic time."""
+        deadline = planned_at + cls.deadline
+        tally, counted = self.tally, planned_at >= self.measured_from
         outcome, tries, wait = "failed", 0, self.retry_wait
         while True:
-            begun = time.monotonic()
+            started_at = time.monotonic()
             if counted and not tries:
-                tally.late_sends.add(begun - planned)
+                tally.send_delay.add(started_at - planned_at)
             tries += 1
             answer: Answer | None = None
-            data = request(cls, next(self.ids), deadline - begun, tries > 1)
-            tally.sent += counted
+            data = build_request(cls, next(self.call_ids), deadline - started_at, tries > 1)
+            tally.tries += counted
             try:
-                async with asyncio.timeout(deadline - begun):
-                    answer = await self.front.ask(zone, data)
+                async with asyncio.timeout(deadline - started_at):
+                    answer = await self.front.send_request(zone, data)
                 code = answer.code
                 outcome = "served" if code == 200 else "refused" if code in (429, 503) else "failed"
-            except NoProxy:
+            except NoProxyAvailable:
                 outcome = "no proxy"
-            except Left:
+            except ConnectionLost:
                 outcome = "broken"
             except TimeoutError:
                 outcome = "timed out"
             if outcome == "served" and answer is not None:
                 if counted:
-                    self._served(cls, planned, begun, answer, tries)
-                if answer.came - planned > cls.aim:
+                    self._record_served(cls, planned_at, started_at, answer, tries)
+                if answer.received_at - planned_at > cls.aim:
                     outcome = "late"
                 break
-            harmless = outcome in ("refused", "no proxy") or cls.effect is Effect.REPEATABLE
-            if tries > self.retries or not harmless or time.monotonic() + wait >= deadline:
+            safe_to_retry = outcome in ("refused", "no proxy") or cls.effect is Effect.REPEATABLE
+            if tries > self.retries or not safe_to_retry or time.monotonic() + wait >= deadline:
                 break
             await asyncio.sleep(wait * float(self.rng.uniform(0.5, 1.5)))
             wait *= 2
         if counted:
-            tally.note(int(planned - self.counting_from), zone, outcome)
+            tally.record_outcome(int(planned_at - self.measured_from), zone, outcome)
 
-    def _served(self, cls: RequestClass, planned: float, begun: float, answer: Answer, tries: int) -> None:
-        self.tally.latency.setdefault(cls.name, Histogram()).add(answer.came - planned)
+    def _record_served(
+        self, cls: RequestClass, planned_at: float, started_at: float, answer: Answer, tries: int
+    ) -> None:
+        self.tally.latency.setdefault(cls.name, Histogram()).add(answer.received_at - planned_at)
         span = answer.headers.get("x-span", "")
         if tries == 1 and span:
-            came, left = (float(part) / 1e6 for part in span.split(","))
-            self.tally.added.add(answer.came - begun - (left - came))
+            backend_received, backend_answered = (float(part) / 1e6 for part in span.split(","))
+            self.tally.added_latency.add(
+                answer.received_at - started_at - (backend_answered - backend_received)
+            )
+
 
+async def call_next_service(
+    front: Front, cls: RequestClass, call_id: str, deadline: float, count: int
+) -> bool:
+    """Makes a backend's own calls to the next service, one after another.
 
-async def call_below(front: Front, cls: RequestClass, call_id: str, deadline: float, count: int) -> bool:
-    """A backend's own calls to the next service, one after another; whether all were served."""
+    Returns whether all `count` calls were served before the monotonic time `deadline`.
+    """
     for number in range(count):
-        left = deadline - time.monotonic()
-        if left <= 0:
+        time_left = deadline - time.monotonic()
+        if time_left <= 0:
             return False
-        with suppress(NoProxy, Left, TimeoutError):
-            async with asyncio.timeout(left):
-                answer = await front.ask("", request(cls, f"{call_id}.{number}", left, False))
+        with suppress(NoProxyAvailable, ConnectionLost, TimeoutError):
+            async with asyncio.timeout(time_left):
+                answer = await front.send_request(
+                    "", build_request(cls, f"{call_id}.{number}", time_left, False)
+                )
             if answer.code == 200:
                 continue
         return False
     return True
 
 
-def places(addresses: dict[str, str], zones: dict[str, str]) -> list[Place]:
-    return [Place(split_address(address), zones[name]) for name, address in addresses.items()]
+def proxy_targets(addresses: dict[str, str], zones: dict[str, str]) -> list[ProxyTarget]:
+    """Returns a target for each proxy; both arguments are by proxy name."""
+    return [ProxyTarget(split_address(address), zones[name]) for name, address in addresses.items()]
--- a/granitepoint/fleet/discovery.py
+++ b/granitepoint/fleet/discovery.py
@@ -1,7 +1,7 @@
-"""The discovery stand-in: whole lists and watches as PROTOCOL has them, in turn at a stated capacity.
+"""Simulated discovery service with a limited capacity: full lists and watches as in PROTOCOL.
 
-Each proxy gets an address of its own to ask at, so that calls and bytes are counted for each without any mark
-in the call, and so that a zone can be cut off.
+Each proxy gets an endpoint (address) of its own. Calls and bytes can so be counted for each proxy without
+any mark in the calls, and a single zone can be partitioned.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from granitepoint.fleet.experiment import DiscoverySizes
 from granitepoint.fleet.wire import Listener, Message, Peer
 
-RENEWAL = 0.2  # s after an answer within which the next call goes on with the same watch
-LONGEST_HOLD = 60.0  # s
-SLOT = 0.1  # s of the timeline of calls
+MAX_WATCH_GAP_S = 0.2  # between an answer and the next call, if the call is to continue the watch
+MAX_HOLD_S = 60.0
+TIMELINE_SLOT_S = 0.1
 
 
-class Endpoint(msgspec.Struct):
-    """A backend as listed. The address is that of the reader's region."""
+class ListedBackend(msgspec.Struct):
+    """A backend as it is listed. The address is the one that the reader's region uses."""
 
     name: str
     address: str
@@ -36,168 +36,191 @@
     since_ms: int
 
 
-class Book:
-    """One service's list, with its versions."""
+class ServiceList:
+    """The versioned list of one service's backends, with its recent changes."""
 
     def __init__(self, kept_changes: int, first_version: int = 1) -> None:
         self.version = first_version
-        self.entries: dict[str, Endpoint] = {}
-        self.addresses: dict[str, list[str]] = {}  # by region
-        self.log: deque[tuple[int, list[str]]] = deque(maxlen=kept_changes)
-        self.gone: dict[str, Endpoint] = {}
-        self.made_at: dict[int, float] = {}  # monotonic, of each version
-        self.encoded: dict[tuple[int, int], bytes] = {}  # of the present version
-
-    def add(self, entry: Endpoint, addresses: list[str]) -> None:
+        self.entries: dict[str, ListedBackend] = {}
+        self.addresses: dict[str, list[str]] = {}  # by backend name, then by region
+        self.changes: deque[tuple[int, list[str]]] = deque(maxlen=kept_changes)  # version, changed names
+        self.removed: dict[str, ListedBackend] = {}
+        self.changed_at: dict[int, float] = {}  # monotonic, by version
+        self.encoded_answers: dict[tuple[int, int], bytes] = {}  # cache for the current version
+
+    def add(self, entry: ListedBackend, addresses: list[str]) -> None:
+        """Adds a backend to the first version; `addresses` has one for each region."""
         self.entries[entry.name] = entry
         self.addresses[entry.name] = addresses
 
     def change(self, names: Iterable[str], status: str = "", weight: float = 0.0, since_ms: int = 0) -> int:
-        """One new version for all of them; returns it."""
+        """Changes all these backends in one new version and returns it. Empty and 0 leave a field as it is."""
         self.version += 1
-        self.encoded.clear()
-        self.made_at[self.version] = time.monotonic()
+        self.encoded_answers.clear()
+        self.changed_at[self.version] = time.monotonic()
         changed = list(names)
-        self.log.append((self.version, changed))
+        self.changes.append((self.version, changed))
         for name in changed:
-            entry = self.entries.get(name) or self.gone.pop(name)
+            entry = self.entries.get(name) or self.removed.pop(name)
             entry.status = status or entry.status
             entry.weight = weight or entry.weight
             entry.since_ms = since_ms or entry.since_ms
             if entry.status == "Gone":
-                self.gone[name] = entry
+                self.removed[name] = entry
                 self.entries.pop(name, None)
             else:
                 self.entries[name] = entry
         return self.version
 
-    def knows(self, version: int) -> bool:
-        """Whether all changes since then are kept."""
+    def has_changes_since(self, version: int) -> bool:
+        """Whether all changes after this version are still kept."""
         if version > self.version or version < 1:
             return False
-        return version == self.version or bool(self.log and self.log[0][0] <= version + 1)
+        return version == self.version or bool(self.changes and self.changes[0][0] <= version + 1)
 
     def answer(self, version: int | None, region: int) -> tuple[bytes, int, bool]:
-        """What has changed since that version, or the whole list; with its number of entries, and whether it
-        is the whole one."""
-        whole = version is None or not self.knows(version)
-        key = (-1 if whole or version is None else version, region)
-        if whole:
+        """Returns the encoded changes since a version, or the full list if they are not kept.
+
+        The result is the body, its number of entries, and whether it is a full list. A version of None
+        requests a full list.
+        """
+        full = version is None or not self.has_changes_since(version)
+        key = (-1 if full or version is None else version, region)
+        if full:
             entries = list(self.entries.values())
         else:
             names = dict.fromkeys(
-                name for made, changed in self.log if made > (version or 0) for name in changed
+                name
+                for change_version, changed in self.changes
+                if change_version > (version or 0)
+                for name in changed
             )
-            entries = [self.entries.get(name) or self.gone[name] for name in names]
-        if key not in self.encoded:
-            told = [
+            entries = [self.entries.get(name) or self.removed[name] for name in names]
+        if key not in self.encoded_answers:
+            listed = [
                 msgspec.structs.replace(entry, address=self.addresses[entry.name][region])
                 for entry in entries
             ]
-            self.encoded[key] = msgspec.json.encode(
-                {"index": self.version, "snapshot": whole, "endpoints": told}
+            self.encoded_answers[key] = msgspec.json.encode(
+                {"index": self.version, "snapshot": full, "endpoints": listed}
             )
-        return self.encoded[key], len(entries), whole
+        return self.encoded_answers[key], len(entries), full
 
 
 @dataclass(slots=True)
-class Counts:
-    """What one proxy has asked and been told."""
+class CallCounts:
+    """Calls of one proxy to discovery, and the answers that it got."""
 
     calls: int = 0
     whole_lists: int = 0
     changes: int = 0  # answers with changed entries
     entries: int = 0
-    empty: int = 0
+    empty: int = 0  # answers without entries
     refused: int = 0
     watches_begun: int = 0
-    renewed: int = 0  # a call that went on with a watch
-    told: dict[int, float] = field(default_factory=dict)  # version: monotonic time at which it was written
+    renewed: int = 0  # calls that continued a watch
+    notified_at: dict[int, float] = field(default_factory=dict)  # version: monotonic time of its first answer
 
 
-class Turns:
-    """One server: what is asked is done one after another."""
+class WorkQueue:
+    """A single server that does its work in order of arrival."""
 
-    def __init__(self, patience: float) -> None:
-        self.patience = patience
-        self.free_at = 0.0
-        self.busy = 0.0  # s of work in all
+    def __init__(self, max_wait: float) -> None:
+        self.max_wait = max_wait  # s
+        self.free_at = 0.0  # monotonic
+        self.busy_time = 0.0  # s of accepted work
 
-    def take(self, now: float, cost: float) -> float | None:
-        """When it will be done; None: its turn comes too late, and it is not done."""
+    def schedule(self, now: float, duration: float) -> float | None:
+        """Adds work of `duration` seconds and returns the time at which it will be done.
+
+        Returns None, and adds nothing, if it would have to wait for longer than `max_wait`.
+        """
         begin = max(now, self.free_at)
-        if begin - now > self.patience:
+        if begin - now > self.max_wait:
             return None
-        self.free_at = begin + cost
-        self.busy += cost
+        self.free_at = begin + duration
+        self.busy_time += duration
         return self.free_at
 
 
-class Desk:
-    """Where one proxy asks: an address, the list that it is told, and its counts."""
+class DiscoveryEndpoint:
+    """The address at which one proxy asks discovery, with its open watches and counts."""
 
-    def __init__(self, owner: Discovery, name: str, book: Book, zone: str, region: int, host: str) -> None:
-        self.owner, self.name, self.book, self.zone, self.region = owner, name, book, zone, region
+    def __init__(
+        self, discovery: Discovery, name: str, service_list: ServiceList, zone: str, region: int, host: str
+    ) -> None:
+        self.discovery, self.name, self.service_list, self.zone, self.region = (
+            discovery,
+            name,
+            service_list,
+            zone,
+            region,
+        )
         self.listener = Listener(self, host)
-        self.counts = Counts()
-        self.waits: dict[Peer, tuple[int, asyncio.TimerHandle]] = {}  # watches: version, end of the hold
-        self.watching_until = 0.0  # a call that comes by then goes on with the watch
-        self.since = 0  # the oldest version that the proxy surely has
+        self.counts = CallCounts()
+        self.watches: dict[Peer, tuple[int, asyncio.TimerHandle]] = {}  # version, timer that ends the hold
+        self.watch_continues_until = 0.0  # monotonic; a call that arrives by then continues the watch
+        self.since = 0  # the oldest version that the proxy certainly has
 
-    def joined(self, peer: Peer) -> None:
+    def on_connect(self, peer: Peer) -> None:
+        """Implements ConnectionHandler."""
         pass
 
-    def left(self, peer: Peer) -> None:
-        wait = self.waits.pop(peer, None)
-        if wait is not None:
-            wait[1].cancel()
+    def on_disconnect(self, peer: Peer) -> None:
+        """Implements ConnectionHandler: a closed connection ends its watch."""
+        watch = self.watches.pop(peer, None)
+        if watch is not None:
+            watch[1].cancel()
 
-    def asked(self, peer: Peer, message: Message) -> None:
+    def on_request(self, peer: Peer, message: Message) -> None:
+        """Implements ConnectionHandler: answers a call in its turn, or holds it as a watch."""
         path, _, query = message.target.partition("?")
         self.counts.calls += 1
-        self.owner.timeline[int((message.came - self.owner.began) / SLOT)] += 1
+        self.discovery.calls_by_slot[
+            int((message.received_at - self.discovery.started_at) / TIMELINE_SLOT_S)
+        ] += 1
         if path != "/v1/servers" or message.method != "GET":
             peer.answer(404)
             return
         try:
-            asked = {key: int(values[0]) for key, values in parse_qs(query).items()}
+            parameters = {key: int(values[0]) for key, values in parse_qs(query).items()}
         except ValueError:
             peer.answer(400)
             return
-        version = asked.get("from")
+        version = parameters.get("from")
         if version is None:
-            self._in_turn(peer, None)
+            self._schedule_answer(peer, None)
             return
-        if message.came <= self.watching_until or self.waits:
+        if message.received_at <= self.watch_continues_until or self.watches:
             self.counts.renewed += 1
         else:
             self.counts.watches_begun += 1
-        hold = min(asked.get("hold_ms", 0) / 1000, LONGEST_HOLD)
-        if version != self.book.version or hold <= 0:
-            self._in_turn(peer, version)
+        hold = min(parameters.get("hold_ms", 0) / 1000, MAX_HOLD_S)
+        if version != self.service_list.version or hold <= 0:
+            self._schedule_answer(peer, version)
         else:
-            end = asyncio.get_running_loop().call_later(hold, self._held_long_enough, peer)
-            self.waits[peer] = (version, end)
-            self.owner.turns.take(message.came, self.owner.cost(0))
-
-    def _held_long_enough(self, peer: Peer) -> None:
-        version, _ = self.waits.pop(peer)
-        self._in_turn(peer, version)
-
-    def changed(self) -> None:
-        """What waits is answered, each in its turn."""
-        waits, self.waits = self.waits, {}
-        for peer, (version, end) in waits.items():
-            end.cancel()
-            self._in_turn(peer, version)
-
-    def _in_turn(self, peer: Peer, version: int | None) -> None:
+            hold_timer = asyncio.get_running_loop().call_later(hold, self._on_hold_expired, peer)
+            self.watches[peer] = (version, hold_timer)
+            self.discovery.work_queue.schedule(message.received_at, self.discovery.service_time(0))
+
+    def _on_hold_expired(self, peer: Peer) -> None:
+        version, _ = self.watches.pop(peer)
+        self._schedule_answer(peer, version)
+
+    def on_change(self) -> None:
+        """Schedules an answer to each open watch."""
+        watches, self.watches = self.watches, {}
+        for peer, (version, hold_timer) in watches.items():
+            hold_timer.cancel()
+            self._schedule_answer(peer, version)
+
+    def _schedule_answer(self, peer: Peer, version: int | None) -> None:
         now = time.monotonic()
-        _, entries, _ = self.book.answer(version, self.region)
-        due = self.owner.turns.take(now, self.owner.cost(entries))
+        _, entries, _ = self.service_list.answer(version, self.region)
+        due = self.discovery.work_queue.schedule(now, self.discovery.service_time(entries))
         loop = asyncio.get_running_loop()
         if due is None:
-            loop.call_later(self.owner.turns.patience, self._refuse, peer)
+            loop.call_later(self.discovery.work_queue.max_wait, self._refuse, peer)
         else:
             loop.call_later(due - now, self._write, peer, version)
 
@@ -205,76 +228,84 @@
         self.counts.refused += peer.answer(503)
 
     def _write(self, peer: Peer, version: int | None) -> None:
-        body, entries, whole = self.book.answer(version, self.region)
+        body, entries, full = self.service_list.answer(version, self.region)
         if not peer.answer(200, body):
             return
         now = time.monotonic()
         counts = self.counts
         counts.entries += entries
-        if whole:
+        if full:
             counts.whole_lists += 1
         elif entries:
             counts.changes += 1
         else:
             counts.empty += 1
-        counts.told.setdefault(self.book.version, now)
+        counts.notified_at.setdefault(self.service_list.version, now)
         if version is not None:
-            self.watching_until = now + RENEWAL
+            self.watch_continues_until = now + MAX_WATCH_GAP_S
 
-    def ended(self) -> None:
-        """Watches end when discovery goes down."""
-        for _, end in self.waits.values():
-            end.cancel()
-        self.waits.clear()
-        self.watching_until = 0.0
+    def end_watches(self) -> None:
+        """Drops all watches, as when discovery goes down."""
+        for _, hold_timer in self.watches.values():
+            hold_timer.cancel()
+        self.watches.clear()
+        self.watch_continues_until = 0.0
 
 
 class Discovery:
-    """The one service that all proxies ask."""
+    """The discovery service that all proxies ask."""
 
     def __init__(self, sizes: DiscoverySizes) -> None:
         self.sizes = sizes
-        self.turns = Turns(sizes.patience_s)
-        self.books: list[Book] = []
-        self.desks: dict[str, Desk] = {}
-        self.began = time.monotonic()
-        self.timeline: Counter[int] = Counter()  # calls that came, by slot
-
-    def cost(self, entries: int) -> float:
-        """Seconds of its time that an answer takes."""
+        self.work_queue = WorkQueue(sizes.patience_s)
+        self.service_lists: list[ServiceList] = []
+        self.endpoints: dict[str, DiscoveryEndpoint] = {}  # by proxy name
+        self.started_at = time.monotonic()
+        self.calls_by_slot: Counter[int] = Counter()  # slots of TIMELINE_SLOT_S from `started_at`
+
+    def service_time(self, entries: int) -> float:
+        """Returns the seconds of work for an answer with this many entries."""
         return 1 / self.sizes.capacity_per_s + entries * self.sizes.entry_us * 1e-6
 
-    def add_desk(self, name: str, service: int, zone: str, region: int, host: str) -> Desk:
-        desk = self.desks[name] = Desk(self, name, self.books[service], zone, region, host)
-        desk.listener.open()
-        return desk
+    def add_endpoint(self, name: str, service: int, zone: str, region: int, host: str) -> DiscoveryEndpoint:
+        """Opens the endpoint of one proxy; `service` is the index of the list that the proxy reads."""
+        endpoint = self.endpoints[name] = DiscoveryEndpoint(
+            self, name, self.service_lists[service], zone, region, host
+        )
+        endpoint.listener.open()
+        return endpoint
 
     def change(
         self, service: int, names: Iterable[str], status: str = "", weight: float = 0.0, since_ms: int = 0
     ) -> int:
-        book = self.books[service]
-        version = book.change(names, status, weight, since_ms)
-        for desk in self.desks.values():
-            if desk.book is book and not desk.listener.cut_off:
-                desk.changed()
+        """Changes a service's list (see ServiceList.change), answers its watches and returns the version."""
+        service_list = self.service_lists[service]
+        version = service_list.change(names, status, weight, since_ms)
+        for endpoint in self.endpoints.values():
+            if endpoint.service_list is service_list and not endpoint.listener.partitioned:
+                endpoint.on_change()
         return version
 
     def down(self) -> None:
-        for desk in self.desks.values():
-            desk.ended()
-            desk.listener.refuse()
-        self.turns.free_at = 0.0
+        """Stops the service: watches end, and connections are reset and refused."""
+        for endpoint in self.endpoints.values():
+            endpoint.end_watches()
+            endpoint.listener.refuse()
+        self.work_queue.free_at = 0.0
 
     def up(self) -> None:
-        for desk in self.desks.values():
-            desk.listener.open()
+        """Starts the service again, at the same addresses."""
+        for endpoint in self.endpoints.values():
+            endpoint.listener.open()
 
-    def cut(self, zones: Iterable[str]) -> None:
-        cut_off = set(zones)
-        for desk in self.desks.values():
-            if desk.zone in cut_off:
-                desk.listener.cut()
+    def partition(self, zones: Iterable[str]) -> None:
+        """Makes the endpoints of these zones unreachable."""
+        partitioned = set(zones)
+        for endpoint in self.endpoints.values():
+            if endpoint.zone in partitioned:
+                endpoint.listener.partition()
 
     def heal(self) -> None:
-        for desk in self.desks.values():
-            desk.listener.heal()
+        """Ends all partitions."""
+        for endpoint in self.endpoints.values():
+            endpoint.listener.heal()
--- a/granitepoint/fleet/fleet.py
+++ b/granitepoint/fleet/fleet.py
@@ -13,7 +13,7 @@
 import psutil
 
 from granitepoint.fleet import worker
-from granitepoint.fleet.discovery import Endpoint
+from granitepoint.fleet.discovery import ListedBackend
 from granitepoint.fleet.experiment import Experiment
 from granitepoint.fleet.measure import Usage
 from granitepoint.fleet.plan import DESKS, Plan, derive, host, make_plan
@@ -158,9 +158,9 @@
 
     async def _start_discovery(self, listed: dict[str, list[str]]) -> tuple[dict[str, str], dict[str, Any]]:
         e = self.experiment
-        lists: list[list[Endpoint]] = [[] for _ in range(e.backends.services)]
+        lists: list[list[ListedBackend]] = [[] for _ in range(e.backends.services)]
         for plan in self.plan.backends:
-            entry = Endpoint(plan.name, "", plan.zone, "m1", plan.cell, "Ready", 1.0, 0)
+            entry = ListedBackend(plan.name, "", plan.zone, "m1", plan.cell, "Ready", 1.0, 0)
             lists[plan.service].append(entry)
         desks = [
             worker.DeskPlan(plan.name, plan.service, plan.zone, plan.region, host(DESKS, number))
--- a/granitepoint/fleet/measure.py
+++ b/granitepoint/fleet/measure.py
@@ -1,4 +1,4 @@
-"""What is measured, and how it travels between processes: histograms, a process's figures, the machine."""
+"""Measurements: latency histograms, resource usage of a process, and facts about the machine."""
 
 from __future__ import annotations
 
@@ -12,70 +12,78 @@
 import psutil
 from hdrh.histogram import HdrHistogram
 
-LONGEST = 120_000_000  # us that a histogram holds
-DIGITS = 3  # of each figure that are kept
-SHARES = (50.0, 99.0, 99.9)
+MAX_DURATION_US = 120_000_000  # longer durations are recorded as this one
+SIGNIFICANT_DIGITS = 3
+PERCENTILES = (50.0, 99.0, 99.9)
 
 
 class Histogram:
-    """Durations in seconds, kept in whole microseconds."""
+    """Histogram of durations in seconds, with a resolution of 1 us at best."""
 
-    def __init__(self, packed: str = "") -> None:
-        self._held = HdrHistogram.decode(packed) if packed else HdrHistogram(1, LONGEST, DIGITS)
+    def __init__(self, encoded: str = "") -> None:
+        """Creates an empty histogram, or one from the result of `encode`."""
+        self._histogram = (
+            HdrHistogram.decode(encoded) if encoded else HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
+        )
 
     def add(self, seconds: float) -> None:
-        self._held.record_value(min(LONGEST, max(0, round(seconds * 1e6))))
+        """Records a duration; negative ones count as 0."""
+        self._histogram.record_value(min(MAX_DURATION_US, max(0, round(seconds * 1e6))))
 
     def merge(self, other: Histogram) -> None:
-        self._held.add(other._held)
+        """Adds all durations of another histogram."""
+        self._histogram.add(other._histogram)
 
-    def pack(self) -> str:
-        packed: bytes = self._held.encode()
-        return packed.decode()
+    def encode(self) -> str:
+        """Returns the histogram as text, for another process."""
+        encoded: bytes = self._histogram.encode()
+        return encoded.decode()
 
     @property
     def count(self) -> int:
-        return int(self._held.get_total_count())
+        """Number of recorded durations."""
+        return int(self._histogram.get_total_count())
 
-    def at(self, share: float) -> float:
-        """Seconds within which that many in 100 lie; 0 where nothing was recorded."""
-        return self._held.get_value_at_percentile(share) / 1e6 if self.count else 0.0
+    def percentile(self, percent: float) -> float:
+        """Returns a percentile (0 to 100) in seconds; 0 if nothing was recorded."""
+        return self._histogram.get_value_at_percentile(percent) / 1e6 if self.count else 0.0
 
     @property
     def mean(self) -> float:
-        return float(self._held.get_mean_value()) / 1e6 if self.count else 0.0
+        """Mean in seconds; 0 if nothing was recorded."""
+        return float(self._histogram.get_mean_value()) / 1e6 if self.count else 0.0
 
     def summary(self) -> dict[str, float]:
-        """Milliseconds at the usual shares, with the count."""
-        figures = {f"p{share:g}_ms": round(self.at(share) * 1e3, 3) for share in SHARES}
-        return {"count": float(self.count), "mean_ms": round(self.mean * 1e3, 3), **figures}
+        """Returns the count, and the mean and PERCENTILES in milliseconds."""
+        values = {f"p{percent:g}_ms": round(self.percentile(percent) * 1e3, 3) for percent in PERCENTILES}
+        return {"count": float(self.count), "mean_ms": round(self.mean * 1e3, 3), **values}
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """A process at one moment."""
+    """Resource usage of a process at one moment."""
 
-    at: float  # monotonic
-    cpu_s: float  # user and system
-    memory: int  # bytes that are its own (USS)
-    switches: int  # voluntary context switches
+    at: float  # monotonic, s
+    cpu_s: float  # user and system time so far
+    memory_bytes: int  # unique set size (USS): memory that no other process shares
+    context_switches: int  # voluntary ones so far
 
     @staticmethod
     def of(pid: int) -> Usage:
-        """Raises psutil.Error where the process is gone."""
+        """Measures a process. Raises psutil.Error if it has ended."""
         process = psutil.Process(pid)
         with process.oneshot():
             times = process.cpu_times()
             return Usage(
                 at=time.monotonic(),
                 cpu_s=times.user + times.system,
-                memory=int(process.memory_full_info().uss),
-                switches=int(process.num_ctx_switches().voluntary),
+                memory_bytes=int(process.memory_full_info().uss),
+                context_switches=int(process.num_ctx_switches().voluntary),
             )
 
 
-def machine() -> dict[str, object]:
-    """Cores, memory, processor and Python of this machine, and how busy it is."""
+def describe_machine() -> dict[str, object]:
+    """Returns this machine's cores, memory, processor, Python and system versions, and load average."""
     model = platform.processor()
     for line in Path("/proc/cpuinfo").read_text(encoding="utf-8").splitlines():
         if line.startswith("model name"):
@@ -91,16 +99,18 @@
     }
 
 
-def commit() -> str:
-    """Of the sources that run; with + where they have been changed since."""
-    here = Path(__file__).parent
+def source_commit() -> str:
+    """Returns the git commit of the running sources, with "+" if tracked files differ; "unknown" without git."""
+    folder = Path(__file__).parent
     try:
-        made = _git("rev-parse", "--short=10", "HEAD", at=here)
-        return made + ("+" if _git("status", "--porcelain", "-uno", at=here) else "")
+        commit = _git("rev-parse", "--short=10", "HEAD", folder=folder)
+        return commit + ("+" if _git("status", "--porcelain", "-uno", folder=folder) else "")
     except (OSError, subprocess.SubprocessError):
         return "unknown"
 
 
-def _git(*arguments: str, at: Path) -> str:
-    done = subprocess.run(("git", *arguments), cwd=at, capture_output=True, check=True, text=True, timeout=10)
+def _git(*arguments: str, folder: Path) -> str:
+    done = subprocess.run(
+        ("git", *arguments), cwd=folder, capture_output=True, check=True, text=True, timeout=10
+    )
     return done.stdout.strip()
--- a/granitepoint/fleet/proxies.py
+++ b/granitepoint/fleet/proxies.py
@@ -1,6 +1,7 @@
-"""Hollow proxies: the real driver, module, callers' side and discovery's side, many to a process.
+"""Hollow proxies: many proxies in one process, with the real driver, balancer, server and discovery client.
 
-Nothing of the proxy is replaced. Subclasses note the time at the seams where a call goes on to the next part.
+No part of the proxy is replaced by a simulation. Subclasses only record when a call passes from one part to
+the next, and can end a proxy as a killed process ends.
 """
 
 from __future__ import annotations
@@ -21,104 +22,121 @@
 from granitepoint.net.server import ClientConnection, Reply, Request, Server
 from granitepoint.net.upstream import LAST_BYTE_DELAY, REUSE_DELAY, Exchange
 
-# The stages of a call in the proxy, in order. `read`: from the first byte read until the request is taken.
-# `batch`: until the module is handed it. `pick`: until it is sent, held in the queue or not. `connect`: until
-# its connection takes it, the pause after the answer before included. `prove`: until its last byte is
-# written. `answer`: from when the answer is whole until it is written.
+# The stages of a call in the proxy, in order:
+#   read:     from the first byte read until the request is accepted
+#   batch:    until it is delivered to the balancer
+#   pick:     until it is sent to a server, including the time in the balancer's queue
+#   connect:  until a connection takes it, including the pause after the connection's previous answer
+#   prove:    until its last byte is written (last-byte check)
+#   answer:   from the complete answer until it is written to the caller
 STAGES = ("read", "batch", "pick", "connect", "prove", "answer")
 
 
 @dataclass(slots=True)
-class Marks:
-    """Monotonic times of one call that is open."""
+class CallTimes:
+    """Monotonic times of one open call; 0: not yet."""
 
-    began: float
-    taken: float
-    handed: float = 0.0
-    sent: float = 0.0
-    connected: float = 0.0
-    proved: float = 0.0
+    first_byte_at: float
+    accepted_at: float
+    delivered_at: float = 0.0
+    sent_at: float = 0.0
+    connected_at: float = 0.0
+    last_byte_at: float = 0.0
 
 
-class Stages:
-    """Histograms of each stage, of calls that were served at their first attempt."""
+class StageTimes:
+    """Histograms of the time in each stage, of calls that were served at their first attempt."""
 
     def __init__(self) -> None:
         self.histograms = {name: Histogram() for name in (*STAGES, "whole")}
-        self.settling = 0  # calls that waited for a connection to settle
+        self.reuse_delays = (
+            0  # calls that waited for REUSE_DELAY after the previous answer of their connection
+        )
 
-    def note(self, marks: Marks, answered: float, written: float) -> None:
-        times = (marks.began, marks.taken, marks.handed, marks.sent, marks.connected, marks.proved)
-        spent = [late - early for early, late in pairwise(times)] + [written - answered]
-        for name, span in zip(STAGES, spent, strict=True):
-            self.histograms[name].add(span)
-        self.histograms["whole"].add(sum(spent))
-        self.settling += REUSE_DELAY / 2 < spent[3] < 3 * REUSE_DELAY
+    def record(self, times: CallTimes, answered_at: float, written_at: float) -> None:
+        """Adds a call whose answer was complete and written at these monotonic times."""
+        boundaries = (
+            times.first_byte_at,
+            times.accepted_at,
+            times.delivered_at,
+            times.sent_at,
+            times.connected_at,
+            times.last_byte_at,
+        )
+        durations = [later - earlier for earlier, later in pairwise(boundaries)] + [written_at - answered_at]
+        for name, duration in zip(STAGES, durations, strict=True):
+            self.histograms[name].add(duration)
+        self.histograms["whole"].add(sum(durations))
+        self.reuse_delays += REUSE_DELAY / 2 < durations[3] < 3 * REUSE_DELAY
 
 
 class TimedConnection(ClientConnection):
-    """Notes when the first byte of a request was read."""
+    """Records when the first byte of a request was read."""
 
-    __slots__ = ("began",)
+    __slots__ = ("first_byte_at",)
 
     def data_received(self, data: bytes) -> None:
+        """Implements asyncio.Protocol."""
         if not self.in_message:
-            self.began = time.monotonic()
+            self.first_byte_at = time.monotonic()
         super().data_received(data)
 
 
 class HollowServer(Server):
     """A server that can be ended as a killed process ends."""
 
-    ended = False
+    killed = False
 
     async def listen(self, host: str, port: int) -> int:
+        """Starts listening and returns the port."""
         self.listener = Listener(host, port, lambda: TimedConnection(self), self._evict_connection)
         self._sweep_later()
         return self.listener.port
 
     def _sweep_later(self) -> None:
-        if not self.ended:
+        if not self.killed:
             super()._sweep_later()
 
-    def end(self) -> None:
-        self.ended = True
+    def kill(self) -> None:
+        """Resets all connections and stops listening, without a graceful shutdown."""
+        self.killed = True
         self.stop_listening()
         for connection in list(self.connections):
             connection.abort()
 
 
-class HandedBalancer(Balancer):
-    """Tells when a batch is handed over."""
+class ObservedBalancer(Balancer):
+    """Reports each batch of events before the balancer handles it."""
 
-    handed_at = 0.0
+    delivered_at = 0.0
     on_batch: Callable[[list[api.Event], float], None] | None = None
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        begun = time.monotonic()
+        """Calls `on_batch` with the events and the monotonic time, then handles them."""
+        started_at = time.monotonic()
         if self.on_batch is not None:
-            self.on_batch(events, begun)
+            self.on_batch(events, started_at)
         return super().handle(now, events)
 
 
 class HollowDriver(Driver):
-    """Notes when each list came into force, and, where it is asked to, the stages of each call."""
+    """A driver that records when it applied each list and, if `stages` is given, the stages of each call."""
 
-    def __init__(self, config: Config, stages: Stages | None) -> None:
-        self.ended = False
+    def __init__(self, config: Config, stages: StageTimes | None) -> None:
+        self.killed = False
         self.stages = stages
-        self.marks: dict[int, Marks] = {}
-        self.in_force: dict[int, float] = {}  # version: monotonic
+        self.call_times: dict[int, CallTimes] = {}  # by call number
+        self.applied_at: dict[int, float] = {}  # monotonic, by version of the list
         self.whole_lists = self.list_failures = self.entries = self.probes_sent = 0
         super().__init__(config)
         if stages is not None:
-            balancer = HandedBalancer(self.settings, config.seed)
+            balancer = ObservedBalancer(self.settings, config.seed)
             balancer.on_batch = self._on_batch
             self.balancer = balancer
 
-    def end(self) -> None:
-        """As a killed process: nothing is answered, connections break, timers tell nobody."""
-        self.ended = True
+    def kill(self) -> None:
+        """Simulates a killed process: no call is answered, connections are reset and timers have no effect."""
+        self.killed = True
         self.stop()
         for call in list(self.calls.values()):
             if call.timer is not None:
@@ -129,18 +147,18 @@
         self.upstreams.by_id.clear()
 
     def _enqueue(self, event: api.Event) -> None:
-        if not self.ended:
+        if not self.killed:
             super()._enqueue(event)
 
     def _on_statistics_due(self) -> None:
-        if not self.ended:
+        if not self.killed:
             super()._on_statistics_due()
 
     def _on_list(self, listing: Listing) -> None:
         self.whole_lists += listing.full
         self.entries += len(listing.backends)
         super()._on_list(listing)
-        self.in_force.setdefault(listing.version, time.monotonic())
+        self.applied_at.setdefault(listing.version, time.monotonic())
 
     def _on_list_failed(self) -> None:
         self.list_failures += 1
@@ -150,93 +168,94 @@
         self.probes_sent += 1
         super()._probe(action)
 
-    # the stages of a call
+    # Stages of a call
     def on_request(self, request: Request, reply: Reply) -> OpenCall | None:
+        """Implements the server's Handler: accepts a request and starts recording its times."""
         call = super().on_request(request, reply)
         if self.stages is not None and call is not None:
             now = time.monotonic()
-            self.marks[call.number] = Marks(getattr(reply, "began", now), now)
+            self.call_times[call.number] = CallTimes(getattr(reply, "first_byte_at", now), now)
         return call
 
     def _on_batch(self, events: list[api.Event], now: float) -> None:
         for event in events:
             if type(event) is api.Arrival:
-                marks = self.marks.get(event.call)
-                if marks is not None:
-                    marks.handed = now
+                times = self.call_times.get(event.call)
+                if times is not None:
+                    times.delivered_at = now
 
     def _send(self, action: api.Send) -> None:
-        marks = self.marks.get(action.call)
-        if marks is None:
+        times = self.call_times.get(action.call)
+        if times is None:
             super()._send(action)
             return
-        marks.sent = time.monotonic()
+        times.sent_at = time.monotonic()
         super()._send(action)
         exchange = self.in_flight.get(action.call)
         if exchange is None or self.calls[action.call].attempts > 1:
-            self.marks.pop(action.call, None)  # what goes out twice is not one of the stages' calls
+            self.call_times.pop(action.call, None)  # only calls with a single attempt are recorded
         elif exchange.connection is not None:
-            self._connected(exchange, marks)
+            self._on_connected(exchange, times)
         else:
-            self._watch_connect(exchange, marks)
+            self._observe_connect(exchange, times)
         if exchange is not None:
-            self._watch_end(exchange, action.call)
+            self._observe_end(exchange, action.call)
 
-    def _watch_connect(self, exchange: Exchange, marks: Marks) -> None:
+    def _observe_connect(self, exchange: Exchange, times: CallTimes) -> None:
         may_start = exchange.may_start
 
-        def asked() -> bool:
-            self._connected(exchange, marks)
+        def observed_may_start() -> bool:
+            self._on_connected(exchange, times)
             return may_start()
 
-        exchange.may_start = asked
+        exchange.may_start = observed_may_start
 
-    def _connected(self, exchange: Exchange, marks: Marks) -> None:
-        marks.connected = time.monotonic()
-        self.loop.call_later(LAST_BYTE_DELAY, self._proved, exchange, marks)
+    def _on_connected(self, exchange: Exchange, times: CallTimes) -> None:
+        times.connected_at = time.monotonic()
+        self.loop.call_later(LAST_BYTE_DELAY, self._check_last_byte, exchange, times)
 
-    def _proved(self, exchange: Exchange, marks: Marks) -> None:
+    def _check_last_byte(self, exchange: Exchange, times: CallTimes) -> None:
         if exchange.sent:
-            marks.proved = time.monotonic()
+            times.last_byte_at = time.monotonic()
         elif exchange.status is None:
-            self.loop.call_soon(self._proved, exchange, marks)
+            self.loop.call_soon(self._check_last_byte, exchange, times)
 
-    def _watch_end(self, exchange: Exchange, number: int) -> None:
-        done = exchange.on_done
+    def _observe_end(self, exchange: Exchange, number: int) -> None:
+        on_done = exchange.on_done
 
-        def ended(exchange: Exchange) -> None:
-            answered = time.monotonic()
-            done(exchange)
-            marks = self.marks.pop(number, None)
-            if marks is not None and marks.proved and exchange.status is api.Status.OK and self.stages:
-                self.stages.note(marks, answered, time.monotonic())
+        def observed_on_done(exchange: Exchange) -> None:
+            answered_at = time.monotonic()
+            on_done(exchange)
+            times = self.call_times.pop(number, None)
+            if times is not None and times.last_byte_at and exchange.status is api.Status.OK and self.stages:
+                self.stages.record(times, answered_at, time.monotonic())
 
-        exchange.on_done = ended
+        exchange.on_done = observed_on_done
 
     def _remove_call(self, call: OpenCall) -> None:
         super()._remove_call(call)
-        if call.exchange is None and call.number in self.marks and not call.attempts:
-            del self.marks[call.number]  # refused or left before it was sent
+        if call.exchange is None and call.number in self.call_times and not call.attempts:
+            del self.call_times[call.number]  # refused, or its caller disconnected, before it was sent
 
 
 @dataclass(slots=True)
-class Hollow:
-    """One hollow proxy, through its lives."""
+class HollowProxy:
+    """One hollow proxy, which can be killed and started again."""
 
     config: Config
-    timed: bool = False
-    driver: HollowDriver | None = None
+    timed: bool = False  # records the stages of calls
+    driver: HollowDriver | None = None  # None: not running
     server: HollowServer | None = None
-    stages: Stages | None = None
-    in_force: dict[int, float] = field(default_factory=dict)
-    starts: list[float] = field(default_factory=list)  # monotonic, of each life
-    totals: dict[str, int] = field(default_factory=dict)
+    stages: StageTimes | None = None
+    applied_at: dict[int, float] = field(default_factory=dict)  # see HollowDriver; of earlier runs
+    start_times: list[float] = field(default_factory=list)  # monotonic
+    totals: dict[str, int] = field(default_factory=dict)  # counts of earlier runs
 
     async def start(self) -> str:
-        """Its address; the same in each of its lives."""
+        """Starts the proxy and returns its address, which is the same at each start."""
         if self.timed and self.stages is None:
-            self.stages = Stages()
-        self.starts.append(time.monotonic())
+            self.stages = StageTimes()
+        self.start_times.append(time.monotonic())
         self.driver = HollowDriver(self.config, self.stages)
         self.server = HollowServer(
             self.driver.effects, self.driver, self.config.sockets, self.config.memory_mb
@@ -247,33 +266,34 @@
         self.config = replace(self.config, listen=(host, port))
         return f"{host}:{port}"
 
-    def end(self) -> None:
+    def kill(self) -> None:
+        """Ends the proxy as a killed process ends; its counts are kept."""
         if self.driver is not None and self.server is not None:
-            self._take_over(self.driver)
-            self.server.end()
-            self.driver.end()
+            self._add_counts(self.driver)
+            self.server.kill()
+            self.driver.kill()
             self.driver = self.server = None
 
-    def _take_over(self, driver: HollowDriver) -> None:
-        """A driver's counts, once."""
-        for version, at in driver.in_force.items():
-            self.in_force.setdefault(version, at)
+    def _add_counts(self, driver: HollowDriver) -> None:
+        """Adds the counts of a driver that ends; to be called once for each."""
+        for version, at in driver.applied_at.items():
+            self.applied_at.setdefault(version, at)
         for name in ("calls_taken", "whole_lists", "list_failures", "entries", "probes_sent"):
             self.totals[name] = self.totals.get(name, 0) + getattr(driver, name)
 
-    def figures(self) -> dict[str, Any]:
-        """All its lives so far."""
+    def statistics(self) -> dict[str, Any]:
+        """Returns counts and times over all runs so far, and the state of the present one."""
         totals = dict(self.totals)
-        in_force = dict(self.in_force)
+        applied_at = dict(self.applied_at)
         driver = self.driver
         if driver is not None:
             for name in ("calls_taken", "whole_lists", "list_failures", "entries", "probes_sent"):
                 totals[name] = totals.get(name, 0) + getattr(driver, name)
-            in_force = {**driver.in_force, **in_force}
+            applied_at = {**driver.applied_at, **applied_at}
         return {
             "totals": totals,
-            "in_force": in_force,
-            "starts": self.starts,
+            "in_force": applied_at,
+            "starts": self.start_times,
             "version": driver.discovery.version if driver is not None else None,
             "serving": len(driver.balancer.servers.pool) if driver is not None else 0,
         }
--- a/granitepoint/fleet/run.py
+++ b/granitepoint/fleet/run.py
@@ -18,8 +18,8 @@
 from granitepoint.fleet import results
 from granitepoint.fleet.experiment import Experiment
 from granitepoint.fleet.fleet import Fleet
-from granitepoint.fleet.measure import Histogram, Usage, commit, machine
-from granitepoint.fleet.troubles import Landmark, Troubles, in_force_after
+from granitepoint.fleet.measure import Histogram, Usage, describe_machine, source_commit
+from granitepoint.fleet.troubles import FaultInjector, TrackedVersion, time_until_applied
 
 LEAD = 0.2  # s between the order to call and the first call
 TAIL = 15.0  # s beyond the longest deadline in which the callers' last calls end
@@ -43,7 +43,7 @@
         self.experiment, self.writer, self.report = experiment, writer, report
         self.mark = 0.0  # monotonic, when the measured time begins
         self.before: dict[int, Usage] = {}
-        self.landmarks: list[Landmark] = []
+        self.landmarks: list[TrackedVersion] = []
         self.collecting = False
 
     def note(self, what: str, figures: dict[str, Any], at: float | None = None) -> None:
@@ -53,7 +53,7 @@
     async def whole(self) -> bool:
         began = datetime.now(UTC).isoformat(timespec="seconds")
         plain: dict[str, Any] = msgspec.to_builtins(self.experiment)
-        self.writer.write(results.Begin(experiment=plain, machine=machine(), commit=commit(), began=began))
+        self.writer.write(results.Begin(experiment=plain, machine=describe_machine(), commit=source_commit(), began=began))
         why = ""
         with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
             async with Fleet(self.experiment, Path(folder)) as fleet:
@@ -96,8 +96,8 @@
         for role in ("backends", "proxies", "discovery"):
             await fleet.all(role, "mark")
         self.before, self.mark = fleet.usage(), time.monotonic()
-        troubles = Troubles(fleet, self.mark, self.note)
-        self.landmarks = troubles.landmarks
+        troubles = FaultInjector(fleet, self.mark, self.note)
+        self.landmarks = troubles.tracked_versions
         async with asyncio.TaskGroup() as group:
             group.create_task(troubles.run(e.troubles))
             group.create_task(self._pass_time())
@@ -143,8 +143,8 @@
                     holds=holds,
                     span_s=round(late.at - early.at, 4),
                     cpu_s=round(late.cpu_s - early.cpu_s, 4),
-                    memory_begin=early.memory,
-                    memory_end=late.memory,
+                    memory_begin=early.memory_bytes,
+                    memory_end=late.memory_bytes,
                 )
             )
 
@@ -186,11 +186,11 @@
         taken = {
             name: {int(version): at for version, at in times.items()} for name, times in in_force.items()
         }
-        labels: dict[str, list[Landmark]] = {}
+        labels: dict[str, list[TrackedVersion]] = {}
         for landmark in self.landmarks:
             labels.setdefault(landmark.label, []).append(landmark)
         for label, landmarks in labels.items():
-            first = landmarks[0].since
+            first = landmarks[0].counted_from
             lasts: list[float] = []
             spans: list[float] = []
             missing = late = 0
@@ -200,7 +200,7 @@
                     if plan.service != landmark.service or plan.zone not in landmark.zones:
                         continue
                     times = taken[name] if name in taken else written[name]
-                    after = in_force_after(landmark, times, starts.get(name, ()))
+                    after = time_until_applied(landmark, times, starts.get(name, ()))
                     if after is None:
                         missing += 1
                     else:
--- a/granitepoint/fleet/slopes.py
+++ b/granitepoint/fleet/slopes.py
@@ -22,7 +22,7 @@
     Trouble,
 )
 from granitepoint.fleet.fit import fit_line, fit_plane
-from granitepoint.fleet.measure import commit, machine
+from granitepoint.fleet.measure import describe_machine, source_commit
 from granitepoint.fleet.run import Report, run
 
 SEED = 20260901
@@ -382,19 +382,19 @@
     """Runs one series and writes its lines; whether it was complete. Raises FleetError."""
     make = SERIES[name]
     out.mkdir(parents=True, exist_ok=True)
-    here = machine()
+    here = describe_machine()
     lines: list[Slope] = []
 
     def keep(figure: str, unit: str, per: str, points: Sequence[tuple[float, float]]) -> None:
         line = fit_line(points)
         lines.append(
             Slope(series=name, figure=figure, unit=unit, per=per, slope=line.slope, base=line.base,
-                  residual=line.residual, points=line.points, commit=commit(),
+                  residual=line.residual, points=line.points, commit=source_commit(),
                   load_average=here["load_average"])
         )  # fmt: skip
 
     if make is None:
-        for what in state.MEASURES:
+        for what in state.MEASUREMENTS:
             report(what, 0.0)
             keep(f"state of each {what}", "bytes", what, state.measure(what))
     else:
@@ -437,7 +437,7 @@
             base=weights[0],
             residual=residual,
             points=points,
-            commit=commit(),
+            commit=source_commit(),
             load_average=load,
         )
         for per, weight in zip(("call a second", "probe a second"), weights[1:], strict=True)
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -1,6 +1,7 @@
-"""Bytes of state in one proxy's process: what more backends, open calls or remembered ids hold.
+"""Memory of one proxy's state: the bytes that listed backends, open calls and remembered ids take.
 
-Counted by tracemalloc on the real driver and module, without sockets; the kernel's buffers come on top.
+They are counted by tracemalloc on the real driver and balancer without sockets, so the kernel's socket buffers
+are not included.
 """
 
 from __future__ import annotations
@@ -18,10 +19,12 @@
 from granitepoint.net.driver import Driver
 from granitepoint.net.server import Request
 
-NOWHERE = ("127.0.0.1", 9)
+UNUSED_ADDRESS = ("127.0.0.1", 9)
 
 
-class _NoReply:
+class _DiscardingReply:
+    """A reply of a request without a connection: answers are dropped."""
+
     def answer(self, code: int, headers: Any, body: bytes) -> None:
         pass
 
@@ -29,7 +32,7 @@
         return False
 
 
-def _driver(backends: int) -> Driver:
+def _make_driver(backends: int) -> Driver:
     entries = [
         {"name": f"b0-{number}", "address": f"127.20.{number // 250}.{number % 250 + 1}:8081", "zone": "a",
          "type": "m1", "group": number // 3, "status": "Ready", "weight": 1.0, "since_ms": 0}
@@ -37,53 +40,55 @@
     ]  # fmt: skip
     raw = {**SETTINGS, "me": 0, "balancers": 1, "zone": "a"}
     known = {"index": 1, "snapshot": True, "endpoints": entries}
-    config = Config("n0", NOWHERE, NOWHERE, 1, 1024, 192.0, known, read_settings(flatten_settings(raw)))
+    config = Config(
+        "n0", UNUSED_ADDRESS, UNUSED_ADDRESS, 1, 1024, 192.0, known, read_settings(flatten_settings(raw))
+    )
     return Driver(config)
 
 
-def _request(number: int) -> Request:
+def _make_request(number: int) -> Request:
     call_id = f"{number:016x}".encode()
     head = b"GET /read HTTP/1.1\r\nhost: service.internal\r\nx-call-id: " + call_id + b"\r\n"
     return Request(call_id, "read", 1.0, "", "", 0.0, False, head, b"", time.monotonic())
 
 
-def _held_by(make: Callable[[], object]) -> int:
-    """Bytes that what `make` gives holds."""
+def _measure_bytes(create: Callable[[], object]) -> int:
+    """Returns the bytes that are allocated by `create` and kept alive by its result."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = make()
+    result = create()
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del result
     return after - before
 
 
-async def of_backends(count: int) -> int:
-    """Listed, with none of their connections."""
-    return _held_by(lambda: _driver(count))
+async def measure_backends(count: int) -> int:
+    """Returns the bytes of a driver with `count` listed backends and no connection to them."""
+    return _measure_bytes(lambda: _make_driver(count))
 
 
-async def of_open_calls(count: int) -> int:
-    """Taken, and handed to the module's queue."""
-    driver = _driver(16)
+async def measure_open_calls(count: int) -> int:
+    """Returns the bytes of `count` calls that were accepted and are in the balancer's queue."""
+    driver = _make_driver(16)
     driver.balancer.handle(time.monotonic(), driver.events)
     driver.events = []
 
-    def take() -> object:
+    def accept_calls() -> object:
         for number in range(count):
-            driver.on_request(_request(number), _NoReply())
+            driver.on_request(_make_request(number), _DiscardingReply())
         driver.balancer.handle(time.monotonic(), driver.events)
         driver.events = []
         return driver
 
-    held = _held_by(take)
-    _cancel(driver)
-    return held
+    allocated = _measure_bytes(accept_calls)
+    _cancel_timers(driver)
+    return allocated
 
 
-def _cancel(driver: Driver) -> None:
+def _cancel_timers(driver: Driver) -> None:
     for call in driver.calls.values():
         if call.timer is not None:
             call.timer.cancel()
@@ -91,18 +96,23 @@
         driver.flush_handle.cancel()
 
 
-async def of_remembered(count: int) -> int:
-    driver = _driver(16)
+async def measure_remembered_ids(count: int) -> int:
+    """Returns the bytes of the ids of `count` ended calls."""
+    driver = _make_driver(16)
 
     def remember() -> object:
         for number in range(count):
             driver.balancer.safety_rules.record_ended(1_000_000 + number)
         return driver
 
-    return _held_by(remember)
+    return _measure_bytes(remember)
 
 
-MEASURES = {"backend": of_backends, "open call": of_open_calls, "remembered id": of_remembered}
+MEASUREMENTS = {
+    "backend": measure_backends,
+    "open call": measure_open_calls,
+    "remembered id": measure_remembered_ids,
+}
 SIZES = {
     "backend": (110, 220, 440, 880),
     "open call": (50, 100, 200, 400),
@@ -111,5 +121,5 @@
 
 
 def measure(what: str) -> list[tuple[float, float]]:
-    """Size and bytes, for each size."""
-    return [(float(size), float(asyncio.run(MEASURES[what](size)))) for size in SIZES[what]]
+    """Runs one of MEASUREMENTS at each of its SIZES; returns pairs of size and bytes."""
+    return [(float(size), float(asyncio.run(MEASUREMENTS[what](size)))) for size in SIZES[what]]
--- a/granitepoint/fleet/troubles.py
+++ b/granitepoint/fleet/troubles.py
@@ -1,4 +1,8 @@
-"""The troubles of an experiment, carried out on a running fleet, and what is to be seen of each."""
+"""Fault injection: applies the faults of an experiment (its `troubles`) to a running fleet.
+
+It also records the list versions that each fault publishes, so that the time until every proxy has applied
+them can be measured.
+"""
 
 from __future__ import annotations
 
@@ -22,28 +26,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Landmark:
-    """A version of a list that is to come into force: at whose proxies, and counted from when."""
+class TrackedVersion:
+    """A version of a service's list that the proxies of some zones are expected to apply."""
 
-    label: str
+    label: str  # kind of change, as in the results
     service: int
     version: int
-    since: float  # monotonic
+    counted_from: float  # monotonic; the start of the time until it is applied
     zones: frozenset[str]
 
 
-class Troubles:
-    """Carries out one experiment's troubles; remembers what happened when."""
+class FaultInjector:
+    """Applies the faults of one experiment at their times."""
 
-    def __init__(self, fleet: Fleet, began: float, note: Callable[[str, dict[str, Any]], None]) -> None:
-        self.fleet, self.began, self.note = fleet, began, note
-        self.landmarks: list[Landmark] = []
-        self.every_zone = frozenset(fleet.experiment.backends.zones)
+    def __init__(
+        self, fleet: Fleet, started_at: float, record_event: Callable[[str, dict[str, Any]], None]
+    ) -> None:
+        self.fleet, self.started_at, self.record_event = fleet, started_at, record_event
+        self.tracked_versions: list[TrackedVersion] = []
+        self.all_zones = frozenset(fleet.experiment.backends.zones)
         self.marks = 0
 
-    async def run(self, troubles: Iterable[Trouble]) -> None:
-        """Until the last of them is over."""
-        kinds: dict[type, Callable[[Any], Coroutine[Any, Any, None]]] = {
+    async def run(self, faults: Iterable[Trouble]) -> None:
+        """Applies all faults, concurrently, and returns when the last of them is over."""
+        handlers: dict[type, Callable[[Any], Coroutine[Any, Any, None]]] = {
             Change: self.change,
             Restarts: self.restarts,
             Crash: self.crash,
@@ -52,154 +58,185 @@
             RegionCut: self.region_cut,
         }
         async with asyncio.TaskGroup() as group:
-            for trouble in troubles:
-                group.create_task(kinds[type(trouble)](trouble))
+            for fault in faults:
+                group.create_task(handlers[type(fault)](fault))
 
-    async def until(self, at_s: float) -> None:
-        await asyncio.sleep(max(0.0, self.began + at_s - time.monotonic()))
+    async def sleep_until(self, at_s: float) -> None:
+        """Sleeps until `at_s` seconds after the start of the measurement."""
+        await asyncio.sleep(max(0.0, self.started_at + at_s - time.monotonic()))
 
-    def since_ms(self) -> int:
+    def now_ms(self) -> int:
+        """Returns the wall-clock time in ms, as in the `since_ms` of a listed backend."""
         return round(time.time() * 1000)
 
-    async def tell_list(
+    async def change_list(
         self,
         label: str,
         names: Iterable[str],
-        since: float | None = None,
+        counted_from: float | None = None,
         zones: frozenset[str] | None = None,
         **changes: Any,
     ) -> None:
-        """One change for each service that these backends belong to."""
+        """Changes these backends in discovery, in one new version for each service concerned.
+
+        The versions are tracked at the proxies of `zones` (default: all), from the monotonic time
+        `counted_from` (default: when the version was made).
+        """
         by_service: dict[int, list[str]] = {}
         for name in names:
             by_service.setdefault(self.fleet.backends[name].service, []).append(name)
         for service, group in by_service.items():
-            told = await self.fleet.ask_discovery("change", group, service=service, **changes)
-            at = told["at"] if since is None else since
-            self.landmarks.append(Landmark(label, service, told["version"], at, zones or self.every_zone))
-
-    def some(self, count: int) -> list[str]:
-        """Backends of all services in turn, and of each service the first."""
+            reply = await self.fleet.ask_discovery("change", group, service=service, **changes)
+            start = reply["at"] if counted_from is None else counted_from
+            self.tracked_versions.append(
+                TrackedVersion(label, service, reply["version"], start, zones or self.all_zones)
+            )
+
+    def pick_backends(self, count: int) -> list[str]:
+        """Returns names of `count` backends: the first ones of each service, the services in turn."""
         services = self.fleet.experiment.backends.services
         return [f"b{number % services}-{number // services}" for number in range(count)]
 
-    def of_zone(self, zone: str) -> tuple[list[str], list[str]]:
-        """Its backends and proxies."""
+    def members_of_zone(self, zone: str) -> tuple[list[str], list[str]]:
+        """Returns the names of the zone's backends and of its proxies."""
         backends = [name for name, plan in self.fleet.backends.items() if plan.zone == zone]
         return backends, [name for name, plan in self.fleet.proxies.items() if plan.zone == zone]
 
-    # each trouble
-    async def change(self, trouble: Change) -> None:
-        for number in range(trouble.times):
-            await self.until(trouble.at_s + number * trouble.every_s)
-            await self.tell_list("change", self.some(trouble.entries), weight=2.0 - number % 2)
-
-    async def restarts(self, trouble: Restarts) -> None:
-        self.note("restarts", {"count": trouble.count, "over_s": trouble.over_s})
-        spacing = trouble.over_s / trouble.count
+    # One method for each kind of fault; experiment.py describes them.
+    async def change(self, fault: Change) -> None:
+        """Changes the weights of some backends, several times."""
+        for number in range(fault.times):
+            await self.sleep_until(fault.at_s + number * fault.every_s)
+            await self.change_list("change", self.pick_backends(fault.entries), weight=2.0 - number % 2)
+
+    async def restarts(self, fault: Restarts) -> None:
+        """Restarts some backends, evenly spread over time."""
+        self.record_event("restarts", {"count": fault.count, "over_s": fault.over_s})
+        spacing = fault.over_s / fault.count
         async with asyncio.TaskGroup() as group:
-            for number, name in enumerate(self.some(trouble.count)):
-                at_s = trouble.at_s + number * spacing
-                group.create_task(self._restart(name, at_s, trouble.drain_s, trouble.down_s, trouble.proxies))
+            for number, name in enumerate(self.pick_backends(fault.count)):
+                at_s = fault.at_s + number * spacing
+                group.create_task(self._restart(name, at_s, fault.drain_s, fault.down_s, fault.proxies))
 
     async def _restart(self, name: str, at_s: float, drain: float, down: float, proxies: bool) -> None:
-        await self.until(at_s)
-        mates = [f"n0-{name.partition('-')[2]}"] if proxies and name.startswith("b0-") else []
-        mates = [mate for mate in mates if mate in self.fleet.proxies and not self.fleet.proxies[mate].real]
-        mates += [plan.name for plan in self.fleet.proxies.values() if plan.of_backend == name]
-        await self.tell_list("restart: draining", [name], status="Terminating")
+        """Restarts a backend together with its own proxy and, with `proxies`, a hollow proxy of the first tier."""
+        await self.sleep_until(at_s)
+        companions = [f"n0-{name.partition('-')[2]}"] if proxies and name.startswith("b0-") else []
+        companions = [
+            companion
+            for companion in companions
+            if companion in self.fleet.proxies and not self.fleet.proxies[companion].real
+        ]
+        companions += [plan.name for plan in self.fleet.proxies.values() if plan.of_backend == name]
+        await self.change_list("restart: draining", [name], status="Terminating")
         await asyncio.sleep(drain)
         await self.fleet.tell("stop", [name])
-        if mates:
-            await self.fleet.tell("stop", mates)
-        await self.tell_list("restart: gone", [name], status="Gone")
+        if companions:
+            await self.fleet.tell("stop", companions)
+        await self.change_list("restart: gone", [name], status="Gone")
         await asyncio.sleep(down)
-        if mates:
-            await self.fleet.tell("start", mates)
+        if companions:
+            await self.fleet.tell("start", companions)
         await self.fleet.tell("start", [name])
-        await self.tell_list("restart: back", [name], status="Ready", since_ms=self.since_ms())
+        await self.change_list("restart: back", [name], status="Ready", since_ms=self.now_ms())
 
-    async def crash(self, trouble: Crash) -> None:
-        await self.until(trouble.at_s)
-        names = self.some(trouble.count)
-        self.note("crash", {"backends": len(names)})
+    async def crash(self, fault: Crash) -> None:
+        """Kills some backends; discovery learns of it later."""
+        await self.sleep_until(fault.at_s)
+        names = self.pick_backends(fault.count)
+        self.record_event("crash", {"backends": len(names)})
         await self.fleet.tell("stop", names)
-        await asyncio.sleep(min(trouble.notice_s, trouble.for_s))
-        await self.tell_list("crash: gone", names, status="Gone")
-        await self.until(trouble.at_s + trouble.for_s)
+        await asyncio.sleep(min(fault.notice_s, fault.for_s))
+        await self.change_list("crash: gone", names, status="Gone")
+        await self.sleep_until(fault.at_s + fault.for_s)
         await self.fleet.tell("start", names)
-        await self.tell_list("crash: back", names, status="Ready", since_ms=self.since_ms())
+        await self.change_list("crash: back", names, status="Ready", since_ms=self.now_ms())
 
-    async def discovery_outage(self, trouble: DiscoveryOutage) -> None:
-        """A change is made while it is down, to be told once it is back."""
-        await self.until(trouble.at_s)
+    async def discovery_outage(self, fault: DiscoveryOutage) -> None:
+        """Stops discovery; a change that is made meanwhile reaches the proxies after its return."""
+        await self.sleep_until(fault.at_s)
         await self.fleet.ask_discovery("down")
-        self.note("discovery is down", {})
-        await self.until(trouble.at_s + trouble.for_s)
-        before = len(self.landmarks)
-        await self.tell_list("outage: change", self.some(1), weight=2.0)
-        up = (await self.fleet.ask_discovery("up"))["at"]
-        self._count_from(before, up)
-        self.note("discovery is back", {})
-
-    def _count_from(self, first: int, since: float) -> None:
-        for place in range(first, len(self.landmarks)):
-            mark = self.landmarks[place]
-            self.landmarks[place] = Landmark(mark.label, mark.service, mark.version, since, mark.zones)
-
-    async def zone_loss(self, trouble: ZoneLoss) -> None:
-        await self.until(trouble.at_s)
-        backends, proxies = self.of_zone(trouble.zone)
-        others = self.every_zone - {trouble.zone}
+        self.record_event("discovery is down", {})
+        await self.sleep_until(fault.at_s + fault.for_s)
+        first = len(self.tracked_versions)
+        await self.change_list("outage: change", self.pick_backends(1), weight=2.0)
+        up_at = (await self.fleet.ask_discovery("up"))["at"]
+        self._set_counted_from(first, up_at)
+        self.record_event("discovery is back", {})
+
+    def _set_counted_from(self, first: int, counted_from: float) -> None:
+        """Sets the time from which the tracked versions with index `first` and higher are counted."""
+        for index in range(first, len(self.tracked_versions)):
+            tracked = self.tracked_versions[index]
+            self.tracked_versions[index] = TrackedVersion(
+                tracked.label, tracked.service, tracked.version, counted_from, tracked.zones
+            )
+
+    async def zone_loss(self, fault: ZoneLoss) -> None:
+        """Partitions a zone; its backends and proxies come back as new processes."""
+        await self.sleep_until(fault.at_s)
+        backends, proxies = self.members_of_zone(fault.zone)
+        others = self.all_zones - {fault.zone}
         await asyncio.gather(
             self.fleet.tell("cut", backends),
             self.fleet.tell("stop", proxies),
-            self.fleet.ask_discovery("cut", [trouble.zone]),
+            self.fleet.ask_discovery("cut", [fault.zone]),
         )
-        self.note("a zone is lost", {"backends": len(backends), "proxies": len(proxies)})
-        await asyncio.sleep(min(trouble.notice_s, trouble.for_s))
-        await self.tell_list("zone: gone", backends, zones=others, status="Gone")
-        await self.until(trouble.at_s + trouble.for_s)
+        self.record_event("a zone is lost", {"backends": len(backends), "proxies": len(proxies)})
+        await asyncio.sleep(min(fault.notice_s, fault.for_s))
+        await self.change_list("zone: gone", backends, zones=others, status="Gone")
+        await self.sleep_until(fault.at_s + fault.for_s)
         await self.fleet.tell("stop", backends)
         await self.fleet.ask_discovery("heal")
         await self.fleet.tell("start", proxies)
         await self.fleet.tell("start", backends)
-        await self.tell_list("zone: back", backends, status="Ready", since_ms=self.since_ms())
-        self.note("the zone is back, cold", {})
+        await self.change_list("zone: back", backends, status="Ready", since_ms=self.now_ms())
+        self.record_event("the zone is back, cold", {})
+
+    async def region_cut(self, fault: RegionCut) -> None:
+        """Partitions the regions from each other.
 
-    async def region_cut(self, trouble: RegionCut) -> None:
-        """Discovery stands in the first region. One change is made meanwhile, one at the heal."""
+        Discovery is in the first region. One change is made during the partition; the other regions see it
+        after the heal.
+        """
         regions = self.fleet.experiment.regions
-        await self.until(trouble.at_s)
-        cut = []
+        await self.sleep_until(fault.at_s)
+        orders = []
         for region, zones in enumerate(regions):
             others = [number for number in range(len(regions)) if number != region]
             names = [name for name, plan in self.fleet.backends.items() if plan.zone in zones]
-            cut.append(partial(self.fleet.tell, names=names, regions=others))
-        far = [zone for zones in regions[1:] for zone in zones]
-        await asyncio.gather(*(one("cut") for one in cut), self.fleet.ask_discovery("cut", far))
-        self.note("the regions are cut", {})
-        await self.until(trouble.at_s + trouble.for_s / 2)
-        near = frozenset(regions[0])
-        await self.tell_list("cut: change, first region", self.some(1), zones=near, weight=2.0)
-        version = self.landmarks[-1]
-        await self.until(trouble.at_s + trouble.for_s)
-        await asyncio.gather(*(one("heal") for one in cut))
-        healed = (await self.fleet.ask_discovery("heal"))["at"]
-        self.landmarks.append(
-            Landmark("cut: change, others after the heal", 0, version.version, healed, frozenset(far))
+            orders.append(partial(self.fleet.tell, names=names, regions=others))
+        far_zones = [zone for zones in regions[1:] for zone in zones]
+        await asyncio.gather(*(order("cut") for order in orders), self.fleet.ask_discovery("cut", far_zones))
+        self.record_event("the regions are cut", {})
+        await self.sleep_until(fault.at_s + fault.for_s / 2)
+        near_zones = frozenset(regions[0])
+        await self.change_list(
+            "cut: change, first region", self.pick_backends(1), zones=near_zones, weight=2.0
         )
-        self.note("the regions are healed", {})
+        tracked = self.tracked_versions[-1]
+        await self.sleep_until(fault.at_s + fault.for_s)
+        await asyncio.gather(*(order("heal") for order in orders))
+        healed_at = (await self.fleet.ask_discovery("heal"))["at"]
+        self.tracked_versions.append(
+            TrackedVersion(
+                "cut: change, others after the heal", 0, tracked.version, healed_at, frozenset(far_zones)
+            )
+        )
+        self.record_event("the regions are healed", {})
 
 
-def in_force_after(
-    landmark: Landmark, in_force: dict[int, float], starts: Iterable[float] = ()
+def time_until_applied(
+    tracked: TrackedVersion, applied_at: dict[int, float], start_times: Iterable[float] = ()
 ) -> float | None:
-    """Seconds until a proxy had this version or a later one, counted from its own start where it started
-    later; None: never."""
-    times = [at for version, at in in_force.items() if version >= landmark.version]
+    """Returns the seconds until a proxy had applied a version or a later one; None: never.
+
+    They count from the proxy's own start if it started later than `tracked.counted_from`. `applied_at` has
+    the monotonic time for each version that the proxy applied.
+    """
+    times = [at for version, at in applied_at.items() if version >= tracked.version]
     if not times:
         return None
-    had = min(times)
-    since = max([landmark.since, *(start for start in starts if start <= had)])
-    return max(0.0, had - since)
+    first_applied = min(times)
+    start = max([tracked.counted_from, *(started for started in start_times if started <= first_applied)])
+    return max(0.0, first_applied - start)
--- a/granitepoint/fleet/wire.py
+++ b/granitepoint/fleet/wire.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 for the stand-ins: a server's side whose addresses can refuse or go silent, and a client's."""
+"""HTTP/1.1 connections of the simulated services.
+
+The server side can refuse connections or stop answering, as a dead or unreachable machine does.
+"""
 
 from __future__ import annotations
 
@@ -12,33 +15,39 @@
 import httptools
 
 Headers = dict[str, str]
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 
 
 @dataclass(slots=True)
 class Message:
-    """A whole request, as it came."""
+    """A complete request."""
 
     method: str
     target: str
     headers: Headers
     body: bytes
-    came: float  # monotonic, when its last byte was read
-    size: int = 0  # bytes as they came
+    received_at: float  # monotonic seconds, when the last byte was read
+    size: int = 0  # bytes on the wire, head included
 
 
-class Owner(Protocol):
-    """What a connection asks of the stand-in behind it."""
+class ConnectionHandler(Protocol):
+    """Receives the events of the connections of a listener."""
 
-    def joined(self, peer: Peer) -> None: ...
+    def on_connect(self, peer: Peer) -> None:
+        """A connection was accepted."""
+        ...
 
-    def asked(self, peer: Peer, message: Message) -> None: ...
+    def on_request(self, peer: Peer, message: Message) -> None:
+        """A complete request was received. It is answered with `peer.answer`, now or later."""
+        ...
 
-    def left(self, peer: Peer) -> None: ...
+    def on_disconnect(self, peer: Peer) -> None:
+        """The connection was closed, by either side."""
+        ...
 
 
 class Peer(asyncio.Protocol):
-    """The server's side of one connection; the other side sends one request at a time."""
+    """Server side of one connection. The remote side must not pipeline requests."""
 
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
@@ -47,26 +56,29 @@
         self.target = b""
         self.headers: Headers = {}
         self.body: list[bytes] = []
-        self.taken = 0  # requests so far
-        self.raw = 0  # bytes since the last one
-        self.used_at = 0.0  # monotonic, of the last byte either way
+        self.request_count = 0
+        self.raw_bytes = 0  # received since the last complete request
+        self.last_active_at = 0.0  # monotonic, of the last byte in either direction
         self.silent = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Implements asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
-        self.used_at = time.monotonic()
+        self.last_active_at = time.monotonic()
         self.listener.peers.add(self)
-        self.listener.owner.joined(self)
+        self.listener.handler.on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Implements asyncio.Protocol."""
         self.transport = self.parser = None
         self.listener.peers.discard(self)
-        self.listener.owner.left(self)
+        self.listener.handler.on_disconnect(self)
 
     def data_received(self, data: bytes) -> None:
-        self.used_at = time.monotonic()
+        """Implements asyncio.Protocol. Malformed input is answered with 400 and a close."""
+        self.last_active_at = time.monotonic()
         self.listener.bytes_in += len(data)
-        self.raw += len(data)
+        self.raw_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -74,76 +86,94 @@
             self.close()
 
     def on_message_begin(self) -> None:
+        """Callback of the parser: a request starts."""
         self.target, self.headers, self.body = b"", {}, []
 
     def on_url(self, part: bytes) -> None:
+        """Callback of the parser: a part of the request target."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Callback of the parser: a complete header line."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, chunk: bytes) -> None:
+        """Callback of the parser: a part of the body."""
         self.body.append(chunk)
 
     def on_message_complete(self) -> None:
-        self.taken += 1
+        """Callback of the parser: the request is complete."""
+        self.request_count += 1
         method = self.parser.get_method().decode()
         target = self.target.decode("latin-1")
-        message = Message(method, target, self.headers, b"".join(self.body), self.used_at, self.raw)
-        self.raw = 0
-        self.listener.owner.asked(self, message)
+        message = Message(
+            method, target, self.headers, b"".join(self.body), self.last_active_at, self.raw_bytes
+        )
+        self.raw_bytes = 0
+        self.listener.handler.on_request(self, message)
 
     def answer(self, code: int, body: bytes = b"", **headers: str) -> bool:
-        """Whether it was written; underscores in header names stand for hyphens."""
+        """Writes an answer; returns False if the connection is closed or silent.
+
+        Underscores in header names stand for hyphens.
+        """
         if self.transport is None or self.silent or self.transport.is_closing():
             return False
         lines = [f"HTTP/1.1 {code} X", f"Content-Length: {len(body)}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         data = "\r\n".join(lines).encode() + b"\r\n\r\n" + body
-        self.used_at = time.monotonic()
+        self.last_active_at = time.monotonic()
         self.listener.bytes_out += len(data)
         self.transport.write(data)
         return True
 
     def silence(self) -> None:
+        """Stops reading and answering; the connection stays open."""
         self.silent = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def close(self) -> None:
+        """Closes the connection after the pending output has been written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
+        """Closes the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Listener:
-    """An address of a stand-in. It is open, or refuses, or is cut off: then what is open stays open and
-    silent, and new connections never come up. The port stays the same through all of this."""
+    """A listening address of a simulated service. The port stays the same in all states.
+
+    It is open, or refuses connections, or is partitioned from the network: then open connections stay open
+    but silent, and new ones are never established.
+    """
 
-    def __init__(self, owner: Owner, host: str) -> None:
-        self.owner, self.host, self.port = owner, host, 0
+    def __init__(self, handler: ConnectionHandler, host: str) -> None:
+        self.handler, self.host, self.port = handler, host, 0  # port 0: chosen by the first `open`
         self.peers: set[Peer] = set()
         self.bytes_in = self.bytes_out = self.accepted = 0
         self.socket: socket.socket | None = None
-        self.plugs: list[socket.socket] = []
-        self.cut_off = False
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.backlog_fillers: list[socket.socket] = []
+        self.partitioned = False
+        self.attaching: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
+        """The address as "host:port"."""
         return f"{self.host}:{self.port}"
 
     def open(self) -> None:
+        """Starts listening, on the same port as before. Does nothing if it is open already."""
         if self.socket is not None:
             return
         new = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         new.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         new.setblocking(False)
         new.bind((self.host, self.port))
-        new.listen(BACKLOG)
+        new.listen(LISTEN_BACKLOG)
         self.port = new.getsockname()[1]
         self.socket = new
         asyncio.get_running_loop().add_reader(new, self._accept)
@@ -158,134 +188,150 @@
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.accepted += 1
-            task = asyncio.get_running_loop().create_task(self._adopt(accepted))
-            self.tasks.add(task)
-            task.add_done_callback(self.tasks.discard)
+            task = asyncio.get_running_loop().create_task(self._attach(accepted))
+            self.attaching.add(task)
+            task.add_done_callback(self.attaching.discard)
 
-    async def _adopt(self, accepted: socket.socket) -> None:
+    async def _attach(self, accepted: socket.socket) -> None:
         with contextlib.suppress(OSError):
             _, peer = await asyncio.get_running_loop().connect_accepted_socket(lambda: Peer(self), accepted)
-            if self.cut_off:
+            if self.partitioned:
                 peer.silence()
 
     def refuse(self) -> None:
-        """The process has died: what is open is reset, and new connections are refused."""
-        self._unplug()
+        """Simulates a dead process: resets open connections and refuses new ones."""
+        self._close_fillers()
         if self.socket is not None:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
             self.socket = None
-        self._reset()
+        self._abort_connections()
 
-    def cut(self) -> None:
-        if self.cut_off or self.socket is None:
+    def partition(self) -> None:
+        """Simulates a network partition. Does nothing if it is not listening."""
+        if self.partitioned or self.socket is None:
             return
-        self.cut_off = True
+        self.partitioned = True
         asyncio.get_running_loop().remove_reader(self.socket)
         for peer in self.peers:
             peer.silence()
-        # The kernel takes connections by itself while there is room in the backlog, so it is made small and
-        # filled: what comes now is not answered.
+        # The kernel completes handshakes by itself while the backlog has a free slot. The backlog is
+        # therefore shrunk and filled, so that the SYNs of later connections get no answer.
         self.socket.listen(0)
         for _ in range(2):
-            plug = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            plug.setblocking(False)
+            filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            filler.setblocking(False)
             with contextlib.suppress(BlockingIOError):
-                plug.connect((self.host, self.port))
-            self.plugs.append(plug)
+                filler.connect((self.host, self.port))
+            self.backlog_fillers.append(filler)
 
     def heal(self) -> None:
-        """Within reach again: what had been open is reset."""
-        if self.cut_off and self.socket is not None:
-            self._unplug()
-            self._reset()
+        """Ends a partition: the address is reachable again, and connections from before are reset."""
+        if self.partitioned and self.socket is not None:
+            self._close_fillers()
+            self._abort_connections()
             with contextlib.suppress(BlockingIOError, ConnectionError):
                 while True:
                     self.socket.accept()[0].close()
-            self.socket.listen(BACKLOG)
+            self.socket.listen(LISTEN_BACKLOG)
             asyncio.get_running_loop().add_reader(self.socket, self._accept)
 
-    def _unplug(self) -> None:
-        self.cut_off = False
-        for plug in self.plugs:
-            plug.close()
-        self.plugs.clear()
+    def _close_fillers(self) -> None:
+        self.partitioned = False
+        for filler in self.backlog_fillers:
+            filler.close()
+        self.backlog_fillers.clear()
 
-    def _reset(self) -> None:
+    def _abort_connections(self) -> None:
         for peer in list(self.peers):
             peer.abort()
 
 
 @dataclass(slots=True)
 class Answer:
+    """A complete answer."""
+
     code: int
     headers: Headers
     body: bytes
-    came: float  # monotonic, of its last byte
+    received_at: float  # monotonic seconds, of the last byte
 
 
-class Link(asyncio.Protocol):
-    """The client's side of one connection; one request at a time."""
+class HttpConnection(asyncio.Protocol):
+    """Client side of one connection; carries one request at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser: Any = None
         self.headers: Headers = {}
         self.body: list[bytes] = []
-        self.waiting: asyncio.Future[Answer] | None = None
-        self.heard = False  # something of the answer has come
+        self.pending_answer: asyncio.Future[Answer] | None = None
+        self.answer_started = False  # a part of the answer has been received
         self.reusable = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Implements asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Implements asyncio.Protocol. A pending request fails with ConnectionError."""
         self.transport = self.parser = None
         self.reusable = False
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_exception(ConnectionError("the connection ended"))
+        if self.pending_answer is not None and not self.pending_answer.done():
+            self.pending_answer.set_exception(ConnectionError("connection closed before a complete answer"))
 
     def data_received(self, data: bytes) -> None:
-        self.heard = True
+        """Implements asyncio.Protocol. Malformed or unrequested data closes the connection."""
+        self.answer_started = True
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, AttributeError):
             self.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Callback of the parser: a complete header line."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, chunk: bytes) -> None:
+        """Callback of the parser: a part of the body."""
         self.body.append(chunk)
 
     def on_message_complete(self) -> None:
+        """Callback of the parser: the answer is complete."""
         self.reusable = self.parser.should_keep_alive()
-        if self.waiting is not None and not self.waiting.done():
+        if self.pending_answer is not None and not self.pending_answer.done():
             code = self.parser.get_status_code()
-            self.waiting.set_result(Answer(code, self.headers, b"".join(self.body), time.monotonic()))
+            self.pending_answer.set_result(Answer(code, self.headers, b"".join(self.body), time.monotonic()))
 
     async def connect(self, host: str, port: int) -> None:
+        """Opens the connection. Raises OSError."""
         await asyncio.get_running_loop().create_connection(lambda: self, host, port)
 
-    async def ask(self, data: bytes) -> Answer:
-        """Raises ConnectionError if the connection ends first; `heard` tells whether an answer had begun."""
+    async def send_request(self, data: bytes) -> Answer:
+        """Writes a serialized request and waits for its answer.
+
+        Raises ConnectionError if the connection ends first; `answer_started` says whether a part of the
+        answer had been received by then.
+        """
         if self.transport is None or self.transport.is_closing():
-            raise ConnectionError("the connection ended")
+            raise ConnectionError("connection closed before the request was sent")
         self.parser = httptools.HttpResponseParser(self)
-        self.headers, self.body, self.heard, self.reusable = {}, [], False, False
-        self.waiting = asyncio.get_running_loop().create_future()
+        self.headers, self.body, self.answer_started, self.reusable = {}, [], False, False
+        self.pending_answer = asyncio.get_running_loop().create_future()
         self.transport.write(data)
         try:
-            return await self.waiting
+            return await self.pending_answer
         finally:
-            self.waiting = None
+            self.pending_answer = None
 
     def abort(self) -> None:
+        """Closes the connection at once."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
 
 def split_address(address: str) -> tuple[str, int]:
+    """Splits "host:port"."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -25,12 +25,12 @@
 
 from granitepoint.benchlink import read_settings
 from granitepoint.fleet import backends as hollow_backends
-from granitepoint.fleet.callers import Callers, Front, Place, call_below, places
-from granitepoint.fleet.discovery import Book, Counts, Discovery, Endpoint
+from granitepoint.fleet.callers import Callers, Front, ProxyTarget, call_next_service, proxy_targets
+from granitepoint.fleet.discovery import CallCounts, Discovery, ListedBackend, ServiceList
 from granitepoint.fleet.experiment import Experiment
 from granitepoint.fleet.measure import Histogram
 from granitepoint.fleet.plan import BackendPlan, ProxyPlan, derive
-from granitepoint.fleet.proxies import Hollow, Stages
+from granitepoint.fleet.proxies import HollowProxy, StageTimes
 from granitepoint.fleet.wire import Listener, Message, split_address
 from granitepoint.net import logs
 from granitepoint.net.config import Config, flatten_settings
@@ -56,7 +56,7 @@
 
 class DiscoverySpec(msgspec.Struct, tag="discovery"):
     experiment: Experiment
-    lists: list[list[Endpoint]]  # of each service
+    lists: list[list[ListedBackend]]  # of each service
     addresses: dict[str, list[str]]  # of each backend, by region
     desks: list[DeskPlan]
 
@@ -128,7 +128,7 @@
         self.calls_below = 0
         fails = np.random.default_rng(derive(spec.seed, "fails"))
         draws = iter(lambda: float(fails.random()), None)
-        times = hollow_backends.draw_times(sizes, derive(spec.seed, "times"))
+        times = hollow_backends.draw_service_times(sizes, derive(spec.seed, "times"))
         last = sizes.services - 1
         self.backends = {
             plan.name: hollow_backends.Backend(
@@ -154,13 +154,13 @@
         call_id = f"{backend.name}-{self.calls_below}"
         fanout = self.spec.experiment.backends.fanout
         return asyncio.get_running_loop().create_task(
-            call_below(self.fronts[backend.name], cls, call_id, message.came + given, fanout)
+            call_next_service(self.fronts[backend.name], cls, call_id, message.received_at + given, fanout)
         )
 
     async def do_wire(self, command: Command) -> dict[str, Any]:
         """Which proxy each backend calls through."""
         for name, address in command.args.items():
-            self.fronts[name] = Front([Place(split_address(address), "", up=True)], 0.0)
+            self.fronts[name] = Front([ProxyTarget(split_address(address), "", up=True)], 0.0)
         return {}
 
     async def do_start(self, command: Command) -> dict[str, Any]:
@@ -190,7 +190,7 @@
 
     async def do_cut(self, command: Command) -> dict[str, Any]:
         for listener in self._listeners(command):
-            listener.cut()
+            listener.partition()
         return {}
 
     async def do_heal(self, command: Command) -> dict[str, Any]:
@@ -219,21 +219,21 @@
         self.spec = spec
         self.discovery = Discovery(spec.experiment.discovery)
         for entries in spec.lists:
-            book = Book(spec.experiment.discovery.kept_changes)
+            book = ServiceList(spec.experiment.discovery.kept_changes)
             for entry in entries:
                 book.add(entry, spec.addresses[entry.name])
-            self.discovery.books.append(book)
+            self.discovery.service_lists.append(book)
         self.bytes_before: dict[str, tuple[int, int]] = {}
         self.busy_before = 0.0
 
     async def start(self) -> dict[str, Any]:
         desks = [
-            self.discovery.add_desk(plan.name, plan.service, plan.zone, plan.region, plan.host)
+            self.discovery.add_endpoint(plan.name, plan.service, plan.zone, plan.region, plan.host)
             for plan in self.spec.desks
         ]
         known = {
             f"{service} {region}": msgspec.json.decode(book.answer(None, region)[0])
-            for service, book in enumerate(self.discovery.books)
+            for service, book in enumerate(self.discovery.service_lists)
             for region in range(len(self.spec.experiment.regions))
         }
         return {"desks": {desk.name: desk.listener.address for desk in desks}, "known": known}
@@ -255,7 +255,7 @@
         return {"at": time.monotonic()}
 
     async def do_cut(self, command: Command) -> dict[str, Any]:
-        self.discovery.cut(command.names)
+        self.discovery.partition(command.names)
         return {}
 
     async def do_heal(self, command: Command) -> dict[str, Any]:
@@ -264,11 +264,11 @@
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
         discovery = self.discovery
-        discovery.timeline.clear()
-        discovery.began = time.monotonic()
-        self.busy_before = discovery.turns.busy
-        for name, desk in discovery.desks.items():
-            desk.counts = Counts()
+        discovery.calls_by_slot.clear()
+        discovery.started_at = time.monotonic()
+        self.busy_before = discovery.work_queue.busy_time
+        for name, desk in discovery.endpoints.items():
+            desk.counts = CallCounts()
             self.bytes_before[name] = desk.listener.bytes_in, desk.listener.bytes_out
         return {}
 
@@ -277,7 +277,7 @@
         names = ("calls", "whole_lists", "changes", "empty", "entries", "refused", "watches_begun", "renewed")
         sums = Counter({name: 0 for name in names})
         most = ins = outs = 0
-        for name, desk in discovery.desks.items():
+        for name, desk in discovery.endpoints.items():
             for count in names:
                 sums[count] += getattr(desk.counts, count)
             before = self.bytes_before.get(name, (0, 0))
@@ -285,13 +285,13 @@
             ins, outs, most = ins + came, outs + went, max(most, came + went)
         return {
             **sums,
-            "desks": len(discovery.desks),
+            "desks": len(discovery.endpoints),
             "bytes_in": ins,
             "bytes_out": outs,
             "most_bytes_of_one": most,
-            "busy_s": discovery.turns.busy - self.busy_before,
-            "calls_by_100ms": {str(slot): count for slot, count in sorted(discovery.timeline.items())},
-            "told": {name: desk.counts.told for name, desk in discovery.desks.items()},
+            "busy_s": discovery.work_queue.busy_time - self.busy_before,
+            "calls_by_100ms": {str(slot): count for slot, count in sorted(discovery.calls_by_slot.items())},
+            "told": {name: desk.counts.notified_at for name, desk in discovery.endpoints.items()},
         }
 
 
@@ -313,7 +313,7 @@
     def __init__(self, spec: ProxiesSpec) -> None:
         self.spec = spec
         sizes = spec.experiment.proxies
-        self.hollow: dict[str, Hollow] = {}
+        self.hollow: dict[str, HollowProxy] = {}
         for plan in spec.proxies:
             config = Config(
                 name=plan.name,
@@ -325,7 +325,7 @@
                 known=spec.known[f"{plan.service} {plan.region}"],
                 settings=read_settings(flatten_settings(proxy_settings(spec.experiment, plan))),
             )
-            self.hollow[plan.name] = Hollow(config, timed=sizes.timed)
+            self.hollow[plan.name] = HollowProxy(config, timed=sizes.timed)
         self.before: Counter[str] = Counter()
 
     async def start(self) -> dict[str, Any]:
@@ -338,13 +338,13 @@
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
         for name in command.names:
-            self.hollow[name].end()
+            self.hollow[name].kill()
         return {}
 
     def _totals(self) -> Counter[str]:
         totals: Counter[str] = Counter()
         for proxy in self.hollow.values():
-            totals.update(proxy.figures()["totals"])
+            totals.update(proxy.statistics()["totals"])
         return totals
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
@@ -353,7 +353,7 @@
         self.before = self._totals()
         for proxy in self.hollow.values():
             if proxy.driver is not None and proxy.timed:
-                proxy.driver.stages = proxy.stages = Stages()
+                proxy.driver.stages = proxy.stages = StageTimes()
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
@@ -363,13 +363,13 @@
         settling = 0
         for proxy in self.hollow.values():
             if proxy.stages is not None:
-                settling += proxy.stages.settling
+                settling += proxy.stages.reuse_delays
                 for name, histogram in proxy.stages.histograms.items():
                     merged.setdefault(name, Histogram()).merge(histogram)
-        figures = {name: proxy.figures() for name, proxy in self.hollow.items()}
+        figures = {name: proxy.statistics() for name, proxy in self.hollow.items()}
         return {
             "totals": dict(totals),
-            "stages": {name: histogram.pack() for name, histogram in merged.items()},
+            "stages": {name: histogram.encode() for name, histogram in merged.items()},
             "settling": settling,
             "in_force": {name: figure["in_force"] for name, figure in figures.items()},
             "starts": {name: figure["starts"] for name, figure in figures.items()},
@@ -378,7 +378,7 @@
 
     async def end(self) -> None:
         for proxy in self.hollow.values():
-            proxy.end()
+            proxy.kill()
 
 
 class ProgramsRole(Role):
@@ -452,7 +452,7 @@
     def __init__(self, spec: CallersSpec) -> None:
         self.spec = spec
         sizes = spec.experiment.callers
-        self.front = Front(places(spec.proxies, spec.zones), sizes.notice_s)
+        self.front = Front(proxy_targets(spec.proxies, spec.zones), sizes.notice_s)
         settings = spec.experiment.module_settings()
         self.callers = Callers(
             self.front,
@@ -467,15 +467,15 @@
         self.planned = 0
 
     async def start(self) -> dict[str, Any]:
-        await self.front.until_ready()
+        await self.front.wait_until_ready()
         return {}
 
     async def do_call(self, command: Command) -> dict[str, Any]:
         """From `begin` to `end`, of which what is planned from `mark` on is counted."""
         args = command.args
-        self.callers.counting_from = args["mark"]
+        self.callers.measured_from = args["mark"]
         if args["rate"] > 0:
-            self.tasks.append(asyncio.create_task(self.front.keep_looking()))
+            self.tasks.append(asyncio.create_task(self.front.run_health_checks()))
             run = self.callers.run(args["rate"], args["begin"], args["end"])
             self.tasks.append(asyncio.create_task(run))
         return {}
@@ -486,13 +486,13 @@
                 await task
         tally = self.callers.tally
         return {
-            "tries": tally.sent,
+            "tries": tally.tries,
             "by_second": {str(second): dict(counts) for second, counts in tally.by_second.items()},
             "by_zone": dict(tally.by_zone),
-            "latency": {name: histogram.pack() for name, histogram in tally.latency.items()},
-            "added": tally.added.pack(),
-            "late_sends": tally.late_sends.pack(),
-            "looks": self.front.looks,
+            "latency": {name: histogram.encode() for name, histogram in tally.latency.items()},
+            "added": tally.added_latency.encode(),
+            "late_sends": tally.send_delay.encode(),
+            "looks": self.front.health_checks,
         }
 
     async def end(self) -> None:
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -16,7 +16,7 @@
 from granitepoint.fleet.fit import fit_line, fit_plane
 from granitepoint.fleet.measure import Histogram
 from granitepoint.fleet.plan import make_plan
-from granitepoint.fleet.troubles import Landmark, in_force_after
+from granitepoint.fleet.troubles import TrackedVersion, time_until_applied
 
 ROOT = Path(__file__).parent.parent
 FIRST = 'name = "x"\nseed = 1\nduration_s = 5.0\n'
@@ -120,8 +120,8 @@
     one, two = Histogram(), Histogram()
     for number in range(1, 1001):
         (one if number % 2 else two).add(number / 1000)
-    two.merge(Histogram(one.pack()))
-    assert two.count == 1000 and two.at(99) == pytest.approx(0.99, rel=2e-3)
+    two.merge(Histogram(one.encode()))
+    assert two.count == 1000 and two.percentile(99) == pytest.approx(0.99, rel=2e-3)
     assert two.summary()["p50_ms"] == pytest.approx(500, rel=2e-3)
     assert Histogram().summary()["p99_ms"] == 0.0
 
@@ -199,7 +199,7 @@
 
 
 def test_a_change_is_in_force_with_the_first_list_of_its_version_or_a_later_one() -> None:
-    mark = Landmark("change", 0, version=5, since=100.0, zones=frozenset("a"))
-    assert in_force_after(mark, {4: 99.0, 6: 100.5, 7: 101.0}) == 0.5
-    assert in_force_after(mark, {5: 99.9}) == 0.0 and in_force_after(mark, {4: 101.0}) is None
-    assert in_force_after(mark, {5: 103.0}, [90.0, 102.0, 104.0]) == 1.0  # it was down until 102
+    mark = TrackedVersion("change", 0, version=5, counted_from=100.0, zones=frozenset("a"))
+    assert time_until_applied(mark, {4: 99.0, 6: 100.5, 7: 101.0}) == 0.5
+    assert time_until_applied(mark, {5: 99.9}) == 0.0 and time_until_applied(mark, {4: 101.0}) is None
+    assert time_until_applied(mark, {5: 103.0}, [90.0, 102.0, 104.0]) == 1.0  # it was down until 102
