--- a/granitepoint/fleet/backends.py
+++ b/granitepoint/fleet/backends.py
@@ -46,14 +46,10 @@
         settings: Settings,
         service_times: Iterator[float],
         failure_draws: Iterator[float],
-        start_next_calls: NextServiceCalls | None = None,
+        call_next: NextServiceCalls | None = None,
     ) -> None:
         self.name, self.zone, self.sizes, self.settings = name, zone, sizes, settings
-        self.service_times, self.failure_draws, self.start_next_calls = (
-            service_times,
-            failure_draws,
-            start_next_calls,
-        )
+        self.service_times, self.failure_draws, self.call_next = service_times, failure_draws, call_next
         self.listeners = [Listener(self, host) for host in hosts]  # one for the callers of each region
         self.counts: Counter[str] = Counter()
         self.draining = False
@@ -63,7 +59,7 @@
         self.queue: deque[tuple[Peer, Message, float]] = deque()
         self.cold_work: deque[tuple[float, float]] = deque()  # received while cold: monotonic time, seconds
         self.cold_work_sum = 0.0  # seconds of service time in `cold_work`
-        self.next_calls_tasks: set[asyncio.Task[bool]] = set()
+        self.next_call_tasks: set[asyncio.Task[bool]] = set()
 
     # Lifecycle
     def start(self, cold: bool = False) -> None:
@@ -84,7 +80,7 @@
         self.generation += 1
         self.running = 0
         self.queue.clear()
-        for task in self.next_calls_tasks:
+        for task in self.next_call_tasks:
             task.cancel()
         for listener in self.listeners:
             listener.refuse()
@@ -188,15 +184,15 @@
         if next(self.failure_draws) < self.sizes.fail_share:
             self.counts["failed"] += 1
             peer.answer(500)
-        elif self.start_next_calls is None:
+        elif self.call_next is None:
             self._answer(peer, message)
         else:
-            task = self.start_next_calls(self, message)
-            self.next_calls_tasks.add(task)
+            task = self.call_next(self, message)
+            self.next_call_tasks.add(task)
             task.add_done_callback(lambda done: self._on_next_calls_done(done, peer, message))
 
     def _on_next_calls_done(self, task: asyncio.Task[bool], peer: Peer, message: Message) -> None:
-        self.next_calls_tasks.discard(task)
+        self.next_call_tasks.discard(task)
         if task.cancelled():
             return
         if task.exception() is None and task.result():
--- a/granitepoint/fleet/callers.py
+++ b/granitepoint/fleet/callers.py
@@ -19,9 +19,7 @@
 from granitepoint.fleet.wire import Answer, HttpConnection, split_address
 from granitepoint.interface import Effect, RequestClass
 
-BUSY_WAIT_S = (
-    0.0015  # last part of the wait for a planned send; timers of the event loop are too coarse for it
-)
+BUSY_WAIT_S = 0.0015  # before a planned send; the timers of the event loop are too coarse for the last part
 HEALTH_CHECK_TIMEOUT_S = 1.0
 
 
@@ -159,9 +157,7 @@
         # By class: from the planned send to the last byte of the answer, of served calls.
         self.latency: dict[str, Histogram] = {}
         self.added_latency = Histogram()  # of served first tries: duration less the backend's own time
-        self.send_delay = (
-            Histogram()
-        )  # from the planned to the actual send: lateness of the callers themselves
+        self.send_delay = Histogram()  # from the planned to the actual send: delays in the callers themselves
         self.by_second: dict[int, Counter[str]] = {}  # outcomes by second of the planned send
         self.tries = 0
         self.by_zone: Counter[str] = Counter()  # keys: zone and outcome
--- a/granitepoint/fleet/discovery.py
+++ b/granitepoint/fleet/discovery.py
@@ -54,7 +54,7 @@
         self.addresses[entry.name] = addresses
 
     def change(self, names: Iterable[str], status: str = "", weight: float = 0.0, since_ms: int = 0) -> int:
-        """Changes all these backends in one new version and returns it. Empty and 0 leave a field as it is."""
+        """Changes these backends in one new version and returns it; "" and 0 leave a field as it is."""
         self.version += 1
         self.encoded_answers.clear()
         self.changed_at[self.version] = time.monotonic()
@@ -150,12 +150,8 @@
         self, discovery: Discovery, name: str, service_list: ServiceList, zone: str, region: int, host: str
     ) -> None:
         self.discovery, self.name, self.service_list, self.zone, self.region = (
-            discovery,
-            name,
-            service_list,
-            zone,
-            region,
-        )
+            discovery, name, service_list, zone, region
+        )  # fmt: skip
         self.listener = Listener(self, host)
         self.counts = CallCounts()
         self.watches: dict[Peer, tuple[int, asyncio.TimerHandle]] = {}  # version, timer that ends the hold
--- a/granitepoint/fleet/measure.py
+++ b/granitepoint/fleet/measure.py
@@ -100,7 +100,7 @@
 
 
 def source_commit() -> str:
-    """Returns the git commit of the running sources, with "+" if tracked files differ; "unknown" without git."""
+    """Returns the git commit of the running sources, or "unknown". "+" marks changes of tracked files."""
     folder = Path(__file__).parent
     try:
         commit = _git("rev-parse", "--short=10", "HEAD", folder=folder)
--- a/granitepoint/fleet/proxies.py
+++ b/granitepoint/fleet/proxies.py
@@ -49,9 +49,7 @@
 
     def __init__(self) -> None:
         self.histograms = {name: Histogram() for name in (*STAGES, "whole")}
-        self.reuse_delays = (
-            0  # calls that waited for REUSE_DELAY after the previous answer of their connection
-        )
+        self.reuse_delays = 0  # calls that waited until REUSE_DELAY after their connection's previous answer
 
     def record(self, times: CallTimes, answered_at: float, written_at: float) -> None:
         """Adds a call whose answer was complete and written at these monotonic times."""
@@ -135,7 +133,7 @@
             self.balancer = balancer
 
     def kill(self) -> None:
-        """Simulates a killed process: no call is answered, connections are reset and timers have no effect."""
+        """Simulates a killed process: calls get no answer, connections are reset, timers have no effect."""
         self.killed = True
         self.stop()
         for call in list(self.calls.values()):
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -1,7 +1,7 @@
 """Memory of one proxy's state: the bytes that listed backends, open calls and remembered ids take.
 
-They are counted by tracemalloc on the real driver and balancer without sockets, so the kernel's socket buffers
-are not included.
+They are counted by tracemalloc on the real driver and balancer without sockets; the kernel's socket buffers
+come on top.
 """
 
 from __future__ import annotations
