--- a/granitepoint/fleet/troubles.py
+++ b/granitepoint/fleet/troubles.py
@@ -119,7 +119,7 @@
                 group.create_task(self._restart(name, at_s, fault.drain_s, fault.down_s, fault.proxies))
 
     async def _restart(self, name: str, at_s: float, drain: float, down: float, proxies: bool) -> None:
-        """Restarts a backend with its own proxy and, if `proxies`, with a hollow proxy of the first service."""
+        """Restarts a backend with its own proxy and, if `proxies`, one of the first service."""
         await self.sleep_until(at_s)
         companions = [f"n0-{name.partition('-')[2]}"] if proxies and name.startswith("b0-") else []
         companions = [
--- a/tests/test_fleet_stand_ins.py
+++ b/tests/test_fleet_stand_ins.py
@@ -1,4 +1,4 @@
-"""The fleet's stand-ins against the words of the protocol, on real sockets of port 0."""
+"""The simulated services of the fleet behave as PROTOCOL says; on real sockets with kernel-chosen ports."""
 
 from __future__ import annotations
 
@@ -13,29 +13,36 @@
 import pytest
 from netkit import TEST_TIMEOUT_S, Caller, endpoint, run
 
-from granitepoint.fleet.backends import Backend, draw_times
-from granitepoint.fleet.callers import Callers, Front, Place, request
-from granitepoint.fleet.discovery import RENEWAL, Book, Desk, Discovery, Endpoint, Turns
+from granitepoint.fleet.backends import Backend, draw_service_times
+from granitepoint.fleet.callers import Callers, Front, ProxyTarget, build_request
+from granitepoint.fleet.discovery import (
+    MAX_WATCH_GAP_S,
+    Discovery,
+    DiscoveryEndpoint,
+    ListedBackend,
+    ServiceList,
+    WorkQueue,
+)
 from granitepoint.fleet.experiment import SETTINGS, BackendSizes, DiscoverySizes
 from granitepoint.fleet.wire import Message, split_address
 from granitepoint.interface import Effect, RequestClass, Settings
 
-HERE = "127.0.0.1"
-GET = b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n"
+HOST = "127.0.0.1"
+GET_REQUEST = b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def book(entries: int = 3, kept: int = 8) -> Book:
-    made = Book(kept)
+def make_list(entries: int = 3, kept_changes: int = 8) -> ServiceList:
+    service_list = ServiceList(kept_changes)
     for number in range(entries):
-        entry = Endpoint(f"s-{number}", "", "a", "m1", 0, "Ready", 1.0, 0)
-        made.add(entry, [f"127.0.0.1:{8000 + number}", f"127.0.0.2:{8000 + number}"])
-    return made
+        entry = ListedBackend(f"s-{number}", "", "a", "m1", 0, "Ready", 1.0, 0)
+        service_list.add(entry, [f"127.0.0.1:{8000 + number}", f"127.0.0.2:{8000 + number}"])
+    return service_list
 
 
-def discovery(**sizes: Any) -> Discovery:
-    made = Discovery(DiscoverySizes(**sizes))
-    made.books.append(book())
-    return made
+def make_discovery(**sizes: Any) -> Discovery:
+    discovery = Discovery(DiscoverySizes(**sizes))
+    discovery.service_lists.append(make_list())
+    return discovery
 
 
 async def connect(address: str) -> Caller:
@@ -43,70 +50,70 @@
 
 
 async def ask(caller: Caller, target: str) -> tuple[int, dict[str, Any]]:
-    answer = await caller.raw(GET % target.encode())
+    answer = await caller.raw(GET_REQUEST % target.encode())
     return answer.code, json.loads(answer.body) if answer.body else {}
 
 
-# discovery
-def test_a_list_has_the_form_and_the_address_of_the_readers_region() -> None:
-    raw, entries, whole = book(1).answer(None, 1)
+# Discovery
+def test_a_full_list_has_the_addresses_of_the_readers_region() -> None:
+    raw, entries, full = make_list(1).answer(None, 1)
     assert json.loads(raw) == {
         "index": 1, "snapshot": True,
         "endpoints": [endpoint("s-0", "127.0.0.2:8000", type="m1")],
     }  # fmt: skip
-    assert entries == 1 and whole
+    assert entries == 1 and full
 
 
-def test_changes_since_a_version_hold_each_entry_once_and_what_is_gone() -> None:
-    made = book()
-    made.change(["s-0"], status="Terminating")
-    made.change(["s-0"], status="Gone")
-    made.change(["s-1"], weight=2.0)
-    told = json.loads(made.answer(1, 0)[0])
-    assert (told["index"], told["snapshot"]) == (4, False)
-    assert [(e["name"], e["status"], e["weight"]) for e in told["endpoints"]] == [
+def test_changes_since_a_version_have_each_entry_once_and_include_removed_ones() -> None:
+    service_list = make_list()
+    service_list.change(["s-0"], status="Terminating")
+    service_list.change(["s-0"], status="Gone")
+    service_list.change(["s-1"], weight=2.0)
+    document = json.loads(service_list.answer(1, 0)[0])
+    assert (document["index"], document["snapshot"]) == (4, False)
+    assert [(e["name"], e["status"], e["weight"]) for e in document["endpoints"]] == [
         ("s-0", "Gone", 1.0), ("s-1", "Ready", 2.0),
     ]  # fmt: skip
-    names = [e["name"] for e in json.loads(made.answer(None, 0)[0])["endpoints"]]
-    assert names == ["s-1", "s-2"]  # what is gone stands among changes only
-    made.change(["s-0"], status="Ready", since_ms=5)
-    assert json.loads(made.answer(4, 0)[0])["endpoints"][0]["since_ms"] == 5
+    names = [e["name"] for e in json.loads(service_list.answer(None, 0)[0])["endpoints"]]
+    assert names == ["s-1", "s-2"]  # removed backends are in changes only
+    service_list.change(["s-0"], status="Ready", since_ms=5)
+    assert json.loads(service_list.answer(4, 0)[0])["endpoints"][0]["since_ms"] == 5
 
 
-def test_a_change_of_many_entries_is_kept_whole() -> None:
-    made = book(entries=9, kept=2)
-    made.change([f"s-{number}" for number in range(9)], weight=2.0)
-    assert made.answer(1, 0)[1:] == (9, False)
+def test_a_change_of_many_entries_counts_as_one_kept_change() -> None:
+    service_list = make_list(entries=9, kept_changes=2)
+    service_list.change([f"s-{number}" for number in range(9)], weight=2.0)
+    assert service_list.answer(1, 0)[1:] == (9, False)
 
 
 @pytest.mark.parametrize("version", [0, 1, 99])
-def test_who_is_too_far_behind_or_ahead_gets_the_whole_list(version: int) -> None:
-    made = book(kept=2)
+def test_a_reader_too_far_behind_or_ahead_gets_the_full_list(version: int) -> None:
+    service_list = make_list(kept_changes=2)
     for weight in (2.0, 3.0, 4.0):
-        made.change(["s-0"], weight=weight)
-    assert made.answer(version, 0)[2] and not made.answer(2, 0)[2]
+        service_list.change(["s-0"], weight=weight)
+    assert service_list.answer(version, 0)[2] and not service_list.answer(2, 0)[2]
 
 
-def test_calls_are_done_in_turn_and_one_whose_turn_comes_too_late_is_not_done() -> None:
-    turns = Turns(patience=1.0)
-    assert turns.take(10.0, 0.6) == 10.6
-    assert turns.take(10.0, 0.6) == 11.2
-    assert turns.take(10.0, 0.6) is None  # it would wait 1.2 s
-    assert turns.take(12.0, 0.5) == 12.5 and turns.busy == pytest.approx(1.7)
+def test_work_is_done_in_order_and_rejected_if_it_would_wait_too_long() -> None:
+    queue = WorkQueue(max_wait=1.0)
+    assert queue.schedule(10.0, 0.6) == 10.6
+    assert queue.schedule(10.0, 0.6) == 11.2
+    assert queue.schedule(10.0, 0.6) is None  # it would wait 1.2 s
+    assert queue.schedule(12.0, 0.5) == 12.5 and queue.busy_time == pytest.approx(1.7)
 
 
-def test_a_watch_waits_for_a_change_or_for_its_hold_and_is_counted_for_its_caller() -> None:
+def test_a_watch_is_held_until_a_change_or_the_end_of_its_hold_and_counted_per_proxy() -> None:
     async def test() -> None:
-        here = discovery()
-        one, other = (here.add_desk(name, 0, "a", 0, HERE) for name in ("one", "other"))
+        discovery = make_discovery()
+        one, other = (discovery.add_endpoint(name, 0, "a", 0, HOST) for name in ("one", "other"))
         caller = await connect(one.listener.address)
         assert (await ask(caller, "/v1/servers"))[1]["snapshot"]
-        code, told = await ask(caller, "/v1/servers?from=1&hold_ms=1")
-        assert (code, told["endpoints"], told["snapshot"]) == (200, [], False)
+        code, document = await ask(caller, "/v1/servers?from=1&hold_ms=1")
+        assert (code, document["endpoints"], document["snapshot"]) == (200, [], False)
         watch = asyncio.create_task(ask(caller, "/v1/servers?from=1&hold_ms=20000"))
-        while not one.waits:
+        while not one.watches:
             await asyncio.sleep(0)
-        here.change(0, ["s-1"], status="Terminating")
+        discovery.change(0, ["s-1"], status="Terminating")
         assert (await watch)[1]["endpoints"][0]["status"] == "Terminating"
         counts = one.counts
         assert (counts.calls, counts.whole_lists, counts.empty, counts.changes, counts.entries) == (
@@ -116,99 +123,107 @@
             1,
             4,
         )
-        assert set(counts.told) == {1, 2} and other.counts.calls == 0
+        assert set(counts.notified_at) == {1, 2} and other.counts.calls == 0
         assert one.listener.bytes_in > 0 and one.listener.bytes_out > len(json.dumps(endpoint("s", "a")))
         assert (await ask(caller, "/v1/other"))[0] == 404
         assert (await ask(caller, "/v1/servers?from=x"))[0] == 400
-        here.down()
+        discovery.down()
 
     run(test())
 
 
-class Nobody:
-    """Takes what a desk answers."""
+class DiscardingPeer:
+    """Stands in for a connection; answers are dropped."""
 
     def answer(self, code: int, body: bytes = b"", **headers: str) -> bool:
         return True
 
 
-def test_a_watch_goes_on_if_the_next_call_comes_within_200_ms_of_the_answer() -> None:
+def test_a_watch_continues_if_the_next_call_comes_within_200_ms_of_the_answer() -> None:
     async def test() -> None:
-        desk = Desk(discovery(), "n", book(), "a", 0, HERE)
-        peer: Any = Nobody()
+        proxy_endpoint = DiscoveryEndpoint(make_discovery(), "n", make_list(), "a", 0, HOST)
+        peer: Any = DiscardingPeer()
 
-        def call(came: float) -> tuple[int, int]:
-            desk.asked(peer, Message("GET", "/v1/servers?from=1&hold_ms=0", {}, b"", came))
-            return desk.counts.watches_begun, desk.counts.renewed
+        def call(received_at: float) -> tuple[int, int]:
+            proxy_endpoint.on_request(
+                peer, Message("GET", "/v1/servers?from=1&hold_ms=0", {}, b"", received_at)
+            )
+            return proxy_endpoint.counts.watches_begun, proxy_endpoint.counts.renewed
 
         assert call(time.monotonic()) == (1, 0)
-        desk._write(peer, 1)
-        answered = desk.watching_until - RENEWAL
-        assert call(answered + 0.2) == (1, 1)
-        assert call(answered + 0.201) == (2, 1)
+        proxy_endpoint._write(peer, 1)
+        answered_at = proxy_endpoint.watch_continues_until - MAX_WATCH_GAP_S
+        assert call(answered_at + 0.2) == (1, 1)
+        assert call(answered_at + 0.201) == (2, 1)
 
     run(test())
 
 
 def test_a_call_that_waits_too_long_ends_with_503() -> None:
     async def test() -> None:
-        here = discovery(capacity_per_s=0.001, patience_s=0.01)  # the first call takes it for long
-        desk = here.add_desk("one", 0, "a", 0, HERE)
-        busy, late = await connect(desk.listener.address), await connect(desk.listener.address)
+        discovery = make_discovery(capacity_per_s=0.001, patience_s=0.01)  # the first call keeps it busy
+        proxy_endpoint = discovery.add_endpoint("one", 0, "a", 0, HOST)
+        busy, late = (
+            await connect(proxy_endpoint.listener.address),
+            await connect(proxy_endpoint.listener.address),
+        )
         first = asyncio.create_task(ask(busy, "/v1/servers"))
-        while not desk.counts.calls:
+        while not proxy_endpoint.counts.calls:
             await asyncio.sleep(0)
-        assert (await ask(late, "/v1/servers"))[0] == 503 and desk.counts.refused == 1
+        assert (await ask(late, "/v1/servers"))[0] == 503 and proxy_endpoint.counts.refused == 1
         first.cancel()
-        here.down()
+        discovery.down()
 
     run(test())
 
 
-def test_an_outage_ends_watches_and_refuses_and_the_address_stays() -> None:
+def test_an_outage_ends_watches_and_refuses_connections_and_keeps_the_address() -> None:
     async def test() -> None:
-        here = discovery()
-        desk = here.add_desk("one", 0, "a", 0, HERE)
-        caller = await connect(desk.listener.address)
-        caller.writer.write(GET % b"/v1/servers?from=1&hold_ms=20000")
-        while not desk.waits:
+        discovery = make_discovery()
+        proxy_endpoint = discovery.add_endpoint("one", 0, "a", 0, HOST)
+        caller = await connect(proxy_endpoint.listener.address)
+        caller.writer.write(GET_REQUEST % b"/v1/servers?from=1&hold_ms=20000")
+        while not proxy_endpoint.watches:
             await asyncio.sleep(0)
-        here.down()
-        assert await caller.closed_by_proxy() and not desk.waits
+        discovery.down()
+        assert await caller.closed_by_proxy() and not proxy_endpoint.watches
         with pytest.raises(ConnectionRefusedError):
-            await connect(desk.listener.address)
-        here.change(0, ["s-0"], weight=3.0)
-        here.up()
-        caller = await connect(desk.listener.address)
+            await connect(proxy_endpoint.listener.address)
+        discovery.change(0, ["s-0"], weight=3.0)
+        discovery.up()
+        caller = await connect(proxy_endpoint.listener.address)
         assert (await ask(caller, "/v1/servers?from=1&hold_ms=20000"))[1]["index"] == 2
-        here.down()
+        discovery.down()
 
     run(test())
 
 
-def test_a_cut_is_silent_new_connections_never_come_up_and_the_heal_resets_what_was_open() -> None:
+def test_a_partition_is_silent_to_old_and_new_connections_and_the_heal_resets_them() -> None:
     async def test() -> None:
-        here = discovery()
-        near, far = here.add_desk("near", 0, "a", 0, HERE), here.add_desk("far", 0, "b", 0, HERE)
+        discovery = make_discovery()
+        near, far = (
+            discovery.add_endpoint("near", 0, "a", 0, HOST),
+            discovery.add_endpoint("far", 0, "b", 0, HOST),
+        )
         caller = await connect(far.listener.address)
         assert (await ask(caller, "/v1/servers"))[0] == 200
-        here.cut(["b"])
-        caller.writer.write(GET % b"/v1/servers")
+        discovery.partition(["b"])
+        caller.writer.write(GET_REQUEST % b"/v1/servers")
         waiting = asyncio.create_task(connect(far.listener.address))
         again = await connect(near.listener.address)
-        assert (await ask(again, "/v1/servers"))[0] == 200  # the other zone is served meanwhile
-        here.change(0, ["s-0"], weight=2.0)
+        assert (await ask(again, "/v1/servers"))[0] == 200  # the other zone is still served
+        discovery.change(0, ["s-0"], weight=2.0)
         assert far.counts.calls == 1 and not waiting.done()
         waiting.cancel()
-        here.heal()
+        discovery.heal()
         assert await caller.closed_by_proxy()
         assert (await ask(await connect(far.listener.address), "/v1/servers"))[1]["index"] == 2
-        here.down()
+        discovery.down()
 
     run(test())
 
 
-# backends
+# Backends
 def module_settings(**changes: Any) -> Settings:
     cls = RequestClass("read", 1.0, 0.3, 1.0)
     figures: dict[str, Any] = {"may_probe": True, "cold_from": 0.5, "cold_for": 10.0, **changes}
@@ -216,166 +231,168 @@
 
 
 @contextlib.asynccontextmanager
-async def backend(settings: Settings | None = None, **sizes: Any) -> AsyncIterator[tuple[Backend, Caller]]:
-    read = BackendSizes(**{"service_ms": 0.0, **sizes})
-    times = draw_times(read, 1)
-    made = Backend("b", "a", [HERE], read, settings or module_settings(), times, itertools.repeat(0.5))
-    made.start()
+async def running_backend(
+    settings: Settings | None = None, **sizes: Any
+) -> AsyncIterator[tuple[Backend, Caller]]:
+    backend_sizes = BackendSizes(**{"service_ms": 0.0, **sizes})
+    service_times = draw_service_times(backend_sizes, 1)
+    backend = Backend(
+        "b", "a", [HOST], backend_sizes, settings or module_settings(), service_times, itertools.repeat(0.5)
+    )
+    backend.start()
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            yield made, await connect(made.listeners[0].address)
+            yield backend, await connect(backend.listeners[0].address)
     finally:
-        made.stop()
+        backend.stop()
 
 
 def call(number: int) -> bytes:
-    return request(RequestClass("read", 1.0, 0.3, 1.0), f"{number:x}", 1.0, False)
+    return build_request(RequestClass("read", 1.0, 0.3, 1.0), f"{number:x}", 1.0, False)
 
 
-def test_a_backend_serves_what_has_an_id_and_tells_its_load() -> None:
+def test_a_backend_serves_requests_with_an_id_and_reports_its_load() -> None:
     async def test() -> None:
-        async with backend() as (made, caller):
+        async with running_backend() as (backend, caller):
             answer = await caller.raw(call(1))
             assert (answer.code, answer.body) == (200, b"1")
-            came, left = map(float, answer.headers["x-span"].split(","))
-            assert came <= left <= time.monotonic() * 1e6
-            assert (await caller.raw(GET % b"/read")).code == 404
-            assert (await caller.raw(GET % b"/load")).body == b"inflight=0,queue=0"
-            assert (await caller.raw(GET % b"/healthz")).code == 200
-            made.drain()
-            assert (await caller.raw(GET % b"/healthz")).code == 503
-            away = await caller.raw(call(2))
-            assert (away.code, away.headers["x-rejected"]) == (503, "1")
-            made.stop()
+            received_us, answered_us = map(float, answer.headers["x-span"].split(","))
+            assert received_us <= answered_us <= time.monotonic() * 1e6
+            assert (await caller.raw(GET_REQUEST % b"/read")).code == 404
+            assert (await caller.raw(GET_REQUEST % b"/load")).body == b"inflight=0,queue=0"
+            assert (await caller.raw(GET_REQUEST % b"/healthz")).code == 200
+            backend.drain()
+            assert (await caller.raw(GET_REQUEST % b"/healthz")).code == 503
+            rejected = await caller.raw(call(2))
+            assert (rejected.code, rejected.headers["x-rejected"]) == (503, "1")
+            backend.stop()
             assert await caller.closed_by_proxy()
             with pytest.raises(ConnectionRefusedError):
-                await connect(made.listeners[0].address)
-            made.start()
-            assert (await (await connect(made.listeners[0].address)).raw(call(3))).code == 200
-            assert (made.counts["served"], made.counts["probes"]) == (2, 3)
-            assert made.counts["probe bytes"] > 3 * len(GET % b"/load")
+                await connect(backend.listeners[0].address)
+            backend.start()
+            assert (await (await connect(backend.listeners[0].address)).raw(call(3))).code == 200
+            assert (backend.counts["served"], backend.counts["probes"]) == (2, 3)
+            assert backend.counts["probe bytes"] > 3 * len(GET_REQUEST % b"/load")
 
     run(test())
 
 
 @pytest.mark.parametrize(("probes", "reports", "code"), [(False, "probe", 404), (True, "none", 404)])
-def test_where_probes_or_reports_are_not_allowed_they_get_404(probes: bool, reports: str, code: int) -> None:
+def test_disallowed_probes_and_reports_get_404(probes: bool, reports: str, code: int) -> None:
     async def test() -> None:
-        async with backend(module_settings(may_probe=probes, reports=reports)) as (_, caller):
-            assert (await caller.raw(GET % b"/load")).code == code
+        async with running_backend(module_settings(may_probe=probes, reports=reports)) as (_, caller):
+            assert (await caller.raw(GET_REQUEST % b"/load")).code == code
 
     run(test())
 
 
-def test_a_full_queue_turns_away_what_has_not_run_and_an_error_may_have_run() -> None:
+def test_a_full_queue_marks_the_request_as_not_run_and_an_error_does_not() -> None:
     async def test() -> None:
-        async with backend(cores=1, queue=1, service_ms=3_600_000.0) as (made, caller):
+        async with running_backend(cores=1, queue=1, service_ms=3_600_000.0) as (backend, caller):
             for number in (1, 2):
-                (caller if number == 1 else await connect(made.listeners[0].address)).writer.write(
+                (caller if number == 1 else await connect(backend.listeners[0].address)).writer.write(
                     call(number)
                 )
-            while made.counts["begun"] < 2:
+            while backend.counts["begun"] < 2:
                 await asyncio.sleep(0)
-            third = await connect(made.listeners[0].address)
+            third = await connect(backend.listeners[0].address)
             assert (await third.raw(call(3))).headers["x-rejected"] == "1"
-        async with backend(fail_share=0.6) as (_, caller):
+        async with running_backend(fail_share=0.6) as (_, caller):
             answer = await caller.raw(call(4))
             assert answer.code == 500 and "x-rejected" not in answer.headers
 
     run(test())
 
 
-def test_a_cold_backend_warms_evenly_and_falls_over_under_too_much() -> None:
+def test_a_cold_backend_warms_up_linearly_and_crashes_under_overload() -> None:
     async def test() -> None:
         strict = module_settings(fall_multiple=1.0, fall_within=1.0)
-        async with backend(strict, cores=1, spread=0.0, service_ms=300.0) as (made, caller):
-            made.start(cold=True)
-            begin = made.cold_since
-            assert [made.capacity(begin + age) for age in (0.0, 5.0, 20.0)] == [0.5, 0.75, 1.0]
+        async with running_backend(strict, cores=1, spread=0.0, service_ms=300.0) as (backend, caller):
+            backend.start(cold=True)
+            begin = backend.cold_since
+            assert [backend.capacity(begin + age) for age in (0.0, 5.0, 20.0)] == [0.5, 0.75, 1.0]
             for number in (1, 2):
-                other = await connect(made.listeners[0].address)
+                other = await connect(backend.listeners[0].address)
                 other.writer.write(call(number))
             assert await caller.closed_by_proxy()
-            assert made.counts["fell over cold"] == 1
+            assert backend.counts["fell over cold"] == 1
 
     run(test())
 
 
-def test_draws_have_the_stated_mean_and_are_the_same_for_a_seed() -> None:
+def test_service_times_have_the_configured_mean_and_are_reproducible() -> None:
     sizes = BackendSizes(service_ms=20.0, spread=0.7)
-    one = list(itertools.islice(draw_times(sizes, 3), 20_000))
-    assert one == list(itertools.islice(draw_times(sizes, 3), 20_000))
-    assert sum(one) / len(one) == pytest.approx(0.020, rel=0.03) and len(set(one)) > 19_000
+    times = list(itertools.islice(draw_service_times(sizes, 3), 20_000))
+    assert times == list(itertools.islice(draw_service_times(sizes, 3), 20_000))
+    assert sum(times) / len(times) == pytest.approx(0.020, rel=0.03) and len(set(times)) > 19_000
 
 
-# callers
+# Callers
 def test_a_request_has_the_method_and_the_headers_of_its_class() -> None:
     keyed = RequestClass("order", 1.0, 0.3, 1.0, effect=Effect.BY_KEY)
-    text = request(keyed, "ab", 0.25, True).decode()
+    text = build_request(keyed, "ab", 0.25, True).decode()
     assert text.startswith("POST /order HTTP/1.1\r\n") and "X-Again: 1" in text
     assert "X-Budget: 250000u" in text and "Idempotency-Key: kab" in text and "X-Call-Id: ab" in text
-    once = request(RequestClass("pay", 1.0, 0.3, 1.0, effect=Effect.ONCE), "c", 1.0, False).decode()
+    once = build_request(RequestClass("pay", 1.0, 0.3, 1.0, effect=Effect.ONCE), "c", 1.0, False).decode()
     assert once.startswith("POST ") and "Idempotency-Key" not in once and "X-Again" not in once
 
 
-def callers(*places: Place, retries: int = 0) -> Callers:
+def make_callers(*targets: ProxyTarget, retries: int = 0) -> Callers:
     cls = RequestClass("read", 1.0, 0.3, 20.0)
-    return Callers(Front(list(places), 1.0), [cls], {}, ["a", "b"], retries, 0.001, 5)
+    return Callers(Front(list(targets), 1.0), [cls], {}, ["a", "b"], retries, 0.001, 5)
 
 
-def test_planned_sends_are_drawn_once_at_the_rate_and_in_order() -> None:
-    one, same = callers().plan(200.0, 10.0, 60.0), callers().plan(200.0, 10.0, 60.0)
-    assert one == same == sorted(one) and one[0] > 10.0 and one[-1] < 60.0
-    assert len(one) == pytest.approx(10_000, rel=0.05)
-    assert callers().plan(0.0, 0.0, 1.0) == []
+def test_planned_sends_are_reproducible_ordered_and_at_the_given_rate() -> None:
+    sends, same = make_callers().plan_sends(200.0, 10.0, 60.0), make_callers().plan_sends(200.0, 10.0, 60.0)
+    assert sends == same == sorted(sends) and sends[0] > 10.0 and sends[-1] < 60.0
+    assert len(sends) == pytest.approx(10_000, rel=0.05)
+    assert make_callers().plan_sends(0.0, 0.0, 1.0) == []
 
 
-def test_latency_counts_from_the_planned_send_also_where_the_caller_is_late() -> None:
+def test_latency_counts_from_the_planned_send_even_if_the_caller_is_late() -> None:
     async def test() -> None:
-        async with backend() as (made, _):
-            place = Place(split_address(made.listeners[0].address), "a", up=True)
-            sent = callers(place)
-            await sent.call(sent.classes[0], "a", time.monotonic() - 2.5)
-            tally = sent.tally
-            assert tally.latency["read"].at(50) >= 2.5 and tally.late_sends.at(50) >= 2.5
-            assert tally.added.at(50) < 2.5  # what the proxy adds counts from the send itself
+        async with running_backend() as (backend, _):
+            target = ProxyTarget(split_address(backend.listeners[0].address), "a", up=True)
+            callers = make_callers(target)
+            await callers.call(callers.classes[0], "a", time.monotonic() - 2.5)
+            tally = callers.tally
+            assert tally.latency["read"].percentile(50) >= 2.5 and tally.send_delay.percentile(50) >= 2.5
+            assert tally.added_latency.percentile(50) < 2.5  # counts from the actual send
             assert sum(tally.by_second.values(), start=type(tally.by_zone)())["late"] == 1
 
     run(test())
 
 
-def test_a_request_that_crosses_a_close_goes_out_once_more_and_a_zone_without_proxies_uses_the_others() -> (
-    None
-):
+def test_a_request_on_a_closed_connection_is_resent_and_a_zone_without_proxies_uses_others() -> None:
     async def test() -> None:
-        async with backend() as (made, _):
-            place = Place(split_address(made.listeners[0].address), "b", up=True)
-            sent = callers(place)
-            await sent.call(sent.classes[0], "a", time.monotonic())
-            made.stop()
-            made.start()  # the kept connection is gone, and the front does not know yet
-            await sent.call(sent.classes[0], "a", time.monotonic())
-            assert sent.tally.by_zone["a served"] == 2 and made.counts["begun"] == 2
+        async with running_backend() as (backend, _):
+            target = ProxyTarget(split_address(backend.listeners[0].address), "b", up=True)
+            callers = make_callers(target)
+            await callers.call(callers.classes[0], "a", time.monotonic())
+            backend.stop()
+            backend.start()  # closes the idle connection; the front hasn't noticed yet
+            await callers.call(callers.classes[0], "a", time.monotonic())
+            assert callers.tally.by_zone["a served"] == 2 and backend.counts["begun"] == 2
 
     run(test())
 
 
-def test_a_proxy_that_refuses_connections_counts_as_none_and_the_front_notices() -> None:
+def test_a_refusing_proxy_counts_as_unavailable_and_fails_its_health_check() -> None:
     async def test() -> None:
-        async with backend() as (made, _):
-            place = Place(split_address(made.listeners[0].address), "a")
-            front = Front([place], 1.0)
-            await front.until_ready()
-            assert place.up and front.looks == 1
-            sent = callers(place, retries=2)
-            made.stop()
-            await sent.call(sent.classes[0], "a", time.monotonic())
-            assert sent.tally.by_zone["a no proxy"] == 1 and sent.tally.sent == 3
-            await front.look(place)
-            assert not place.up
+        async with running_backend() as (backend, _):
+            target = ProxyTarget(split_address(backend.listeners[0].address), "a")
+            front = Front([target], 1.0)
+            await front.wait_until_ready()
+            assert target.up and front.health_checks == 1
+            callers = make_callers(target, retries=2)
+            backend.stop()
+            await callers.call(callers.classes[0], "a", time.monotonic())
+            assert callers.tally.by_zone["a no proxy"] == 1 and callers.tally.tries == 3
+            await front.check_health(target)
+            assert not target.up
 
     run(test())
 
 
-def test_the_settings_of_a_fleet_are_those_of_the_settings_page() -> None:
+def test_the_settings_of_the_fleet_have_the_documented_keys() -> None:
     assert {"grades", "policy_limits", "contract", "report", "discovery", "quantum"} <= set(SETTINGS)
