--- a/granitepoint/fleet/discovery.py
+++ b/granitepoint/fleet/discovery.py
@@ -1,7 +1,7 @@
 """Simulated discovery service with a limited capacity: full lists and watches as in PROTOCOL.
 
-Each proxy gets an endpoint (address) of its own. Calls and bytes can so be counted for each proxy without
-any mark in the calls, and a single zone can be partitioned.
+Each proxy gets an endpoint (address) of its own, so that its calls and bytes can be counted without any mark in
+the calls, and so that the proxies of one zone can be partitioned from discovery.
 """
 
 from __future__ import annotations
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -163,7 +163,7 @@
                 await asyncio.sleep(0.05)  # for at most a second
             else:
                 raise AssertionError("no caller was served")
-            assert max_descriptors <= 256 * 0.6  # the two fifths of the upstreams are unused
+            assert max_descriptors <= 256 * 0.6  # the two fifths reserved for upstreams are free
             closes = [Caller(*pair).closed_by_proxy() for pair in connections]
             async with asyncio.timeout(3.0):
                 assert all(await asyncio.gather(*closes))
--- a/tests/test_fleet_stand_ins.py
+++ b/tests/test_fleet_stand_ins.py
@@ -226,8 +226,8 @@
 # Backends
 def module_settings(**changes: Any) -> Settings:
     cls = RequestClass("read", 1.0, 0.3, 1.0)
-    figures: dict[str, Any] = {"may_probe": True, "cold_from": 0.5, "cold_for": 10.0, **changes}
-    return Settings(classes=[cls], **figures)
+    values: dict[str, Any] = {"may_probe": True, "cold_from": 0.5, "cold_for": 10.0, **changes}
+    return Settings(classes=[cls], **values)
 
 
 @contextlib.asynccontextmanager
