--- a/granitepoint/fleet/discovery.py
+++ b/granitepoint/fleet/discovery.py
@@ -1,7 +1,7 @@
 """Simulated discovery service with a limited capacity: full lists and watches as in PROTOCOL.
 
-Each proxy gets an endpoint (address) of its own, so that its calls and bytes can be counted without any mark in
-the calls, and so that the proxies of one zone can be partitioned from discovery.
+Each proxy gets an endpoint (address) of its own, so that its calls and bytes can be counted without any mark
+in the calls, and so that the proxies of one zone can be partitioned from discovery.
 """
 
 from __future__ import annotations
@@ -156,7 +156,7 @@
         self.counts = CallCounts()
         self.watches: dict[Peer, tuple[int, asyncio.TimerHandle]] = {}  # version, timer that ends the hold
         self.watch_continues_until = 0.0  # monotonic; a call that arrives by then continues the watch
-        self.since = 0  # the oldest version that the proxy certainly has
+        self.oldest_version = 0  # the oldest version that the proxy certainly has
 
     def on_connect(self, peer: Peer) -> None:
         """Implements ConnectionHandler."""
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -147,7 +147,7 @@
 
 
 def test_many_silent_callers_leave_connections_and_descriptors_for_others() -> None:
-    """The descriptors that are reserved for upstreams and discovery stay free, and a new caller is served."""
+    """Of 256 descriptors those reserved for upstreams and discovery stay free, and a new caller is served."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}, sockets=256) as node:
