--- a/granitepoint/faults/clients.py
+++ b/granitepoint/faults/clients.py
@@ -9,7 +9,7 @@
 from itertools import count
 from random import Random
 
-from granitepoint.fleet.wire import Answer, Link
+from granitepoint.fleet.wire import Answer, HttpConnection
 
 NEW_CONNECTION_SHARE = 0.2  # of the requests
 THINK_TIME_S = (0.01, 0.08)  # minimum and maximum time between an answer and the next request
@@ -62,7 +62,7 @@
                 group.create_task(self._run_client())
 
     async def _run_client(self) -> None:
-        connection: Link | None = None
+        connection: HttpConnection | None = None
         while not self.stopped:
             if connection is not None and (
                 not connection.reusable or self.random.random() < NEW_CONNECTION_SHARE
@@ -75,14 +75,14 @@
         if connection is not None:
             connection.abort()
 
-    async def _send_request(self, connection: Link | None) -> Link | None:
+    async def _send_request(self, connection: HttpConnection | None) -> HttpConnection | None:
         """Sends a request and records it; returns the connection if it is still open."""
         template = self.random.choice(self.templates)
         call_id = f"{self.next_call_number():016x}"
         new_connection = connection is None
         try:
             if connection is None:
-                connection = Link()
+                connection = HttpConnection()
                 await connection.connect(*self.address)
         except OSError:
             return None  # the proxy never accepted it, so no request is recorded
@@ -97,8 +97,8 @@
         self.requests.append(request)
         try:
             async with asyncio.timeout(template.budget + ANSWER_WAIT_MARGIN_S):
-                answer: Answer = await connection.ask(encode_request(template, call_id))
-            request.code, request.ended_at = answer.code, answer.came
+                answer: Answer = await connection.send_request(encode_request(template, call_id))
+            request.code, request.ended_at = answer.code, answer.received_at
             return connection
         except (OSError, TimeoutError) as error:
             request.error, request.ended_at = type(error).__name__, time.monotonic()
--- a/granitepoint/faults/discovery.py
+++ b/granitepoint/faults/discovery.py
@@ -93,17 +93,17 @@
         """Host and port."""
         return self.listener.address
 
-    def joined(self, peer: Peer) -> None:
+    def on_connect(self, peer: Peer) -> None:
         pass
 
-    def left(self, peer: Peer) -> None:
+    def on_disconnect(self, peer: Peer) -> None:
         """Removes the watch of a connection that was closed."""
         self.silent_watches.pop(peer, None)
         watch = self.watches.pop(peer, None)
         if watch is not None:
             watch.end_timer.cancel()
 
-    def asked(self, peer: Peer, message: Message) -> None:
+    def on_request(self, peer: Peer, message: Message) -> None:
         """Reads the version and the hold time from a call and passes it on to discovery."""
         self.call_count += 1
         query = parse_qs(message.target.partition("?")[2])
