--- a/granitepoint/emulator/world.py
+++ b/granitepoint/emulator/world.py
@@ -16,7 +16,7 @@
 from granitepoint.emulator.server import Server
 from granitepoint.emulator.tally import Begin, EmulatorFault, Sample, Tally
 from granitepoint.emulator.troubles import Troubles
-from granitepoint.fleet.plan import derive
+from granitepoint.fleet.plan import derive_seed
 from granitepoint.fleet.results import Record
 from granitepoint.interface import Settings
 
@@ -55,7 +55,7 @@
         self._build()
 
     def _random(self, *names: object) -> Random:
-        return Random(derive(self.day.seed, *names))
+        return Random(derive_seed(self.day.seed, *names))
 
     # -- building
     def _build(self) -> None:
@@ -71,7 +71,7 @@
                 self.registries[depth].enrol(server)
         starts = self._random("starts")
         for number in range(self.day.front.proxies):
-            zone, seed = zones[number % len(zones)], derive(self.day.seed, "proxy", number)
+            zone, seed = zones[number % len(zones)], derive_seed(self.day.seed, "proxy", number)
             proxy = Instance(self, 0, zone, number, self.day.front.proxies, seed)
             self.proxies.append(proxy)
             self.front.add(proxy)
@@ -93,7 +93,7 @@
         self.servers[id] = server
         self.by_tier[depth].append(server)
         if depth + 1 < len(self.tiers):
-            seed = derive(self.day.seed, "instance", id)
+            seed = derive_seed(self.day.seed, "instance", id)
             server.instance = Instance(self, depth + 1, zone, place, self.tiers[depth].servers, seed)
         return server
 
--- a/granitepoint/fleet/__main__.py
+++ b/granitepoint/fleet/__main__.py
@@ -12,44 +12,44 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from granitepoint.fleet import experiment as experiments
-from granitepoint.fleet import run as runs
-from granitepoint.fleet import slopes as series
+from granitepoint.fleet import experiment as experiment_files
+from granitepoint.fleet import run as fleet_run
+from granitepoint.fleet import slopes as scale_series
 from granitepoint.fleet.fleet import FleetError
 from granitepoint.fleet.summary import print_summary
 
-BAD_INPUT, FAILED, INTERRUPTED = 2, 1, 130
+EXIT_BAD_INPUT, EXIT_FAILED, EXIT_INTERRUPTED = 2, 1, 130
 
 app = cyclopts.App(name="python -m granitepoint.fleet", help="A fleet of stand-ins round the real proxy.")
 console = Console()
-errors = Console(stderr=True, soft_wrap=True, highlight=False, markup=False)
+error_console = Console(stderr=True, soft_wrap=True, highlight=False, markup=False)
 
 
 @contextmanager
-def progress(name: str) -> Iterator[runs.Report]:
+def progress_bar(name: str) -> Iterator[fleet_run.ProgressCallback]:
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
-    with Progress(*columns, console=errors, transient=True) as bar:
-        task = bar.add_task(name, total=1.0)
-        yield lambda text, share: bar.update(task, description=f"{name}: {text}", completed=share)
+    with Progress(*columns, console=error_console, transient=True) as display:
+        task = display.add_task(name, total=1.0)
+        yield lambda text, share: display.update(task, description=f"{name}: {text}", completed=share)
 
 
 @app.command
 def run(experiment: Path, *, out: Annotated[Path, cyclopts.Parameter(help="folder of the results")]) -> int:
     """Run one experiment file; the results go to OUT/NAME.jsonl."""
     try:
-        read = experiments.load(experiment)
-    except experiments.ExperimentError as fault:
-        errors.print(f"fleet: {fault}")
-        return BAD_INPUT
-    path = out / f"{read.name}.jsonl"
+        loaded = experiment_files.load(experiment)
+    except experiment_files.ExperimentError as error:
+        error_console.print(f"fleet: {error}")
+        return EXIT_BAD_INPUT
+    path = out / f"{loaded.name}.jsonl"
     try:
-        with progress(read.name) as report:
-            complete = runs.run(read, path, report)
-    except FleetError as fault:
-        errors.print(f"fleet: {fault}; what was measured is in {path}")
-        return FAILED
+        with progress_bar(loaded.name) as report_progress:
+            complete = fleet_run.run(loaded, path, report_progress)
+    except FleetError as error:
+        error_console.print(f"fleet: {error}; what was measured is in {path}")
+        return EXIT_FAILED
     print_summary(path, console)
-    return 0 if complete else INTERRUPTED
+    return 0 if complete else EXIT_INTERRUPTED
 
 
 @app.command
@@ -59,20 +59,20 @@
     only: Annotated[list[str] | None, cyclopts.Parameter(help="names of series; else all")] = None,
 ) -> int:
     """Run the scale series, and fit a straight line to each figure; the lines go to OUT/slopes.jsonl."""
-    unknown = [name for name in only or [] if name not in series.SERIES]
+    unknown = [name for name in only or [] if name not in scale_series.SERIES]
     if unknown:
-        errors.print(f"fleet: no such series: {unknown[0]}; there are {', '.join(series.SERIES)}")
-        return BAD_INPUT
+        error_console.print(f"fleet: no such series: {unknown[0]}; there are {', '.join(scale_series.SERIES)}")
+        return EXIT_BAD_INPUT
     try:
-        for name in only or series.SERIES:
-            with progress(name) as report:
-                complete = series.run_series(name, out, report)
+        for name in only or scale_series.SERIES:
+            with progress_bar(name) as report_progress:
+                complete = scale_series.run_series(name, out, report_progress)
             if not complete:
-                return INTERRUPTED
-    except FleetError as fault:
-        errors.print(f"fleet: {fault}; what was measured is in {out}")
-        return FAILED
-    series.print_lines(out, console)
+                return EXIT_INTERRUPTED
+    except FleetError as error:
+        error_console.print(f"fleet: {error}; what was measured is in {out}")
+        return EXIT_FAILED
+    scale_series.print_lines(out, console)
     return 0
 
 
--- a/granitepoint/fleet/experiment.py
+++ b/granitepoint/fleet/experiment.py
@@ -114,9 +114,9 @@
     for_s: float
 
 
-Trouble = Change | Restarts | Crash | DiscoveryOutage | ZoneLoss | RegionCut
+Fault = Change | Restarts | Crash | DiscoveryOutage | ZoneLoss | RegionCut
 
-CLASSES: list[dict[str, Any]] = [
+DEFAULT_CLASSES: list[dict[str, Any]] = [
     {"name": "read", "value": 1.0, "objective": 0.3, "deadline": 1.0, "effect": "repeatable",
      "late_worth": 0.3, "group": "all", "stream": False},
     {"name": "order", "value": 4.0, "objective": 0.5, "deadline": 1.5, "effect": "by_key",
@@ -124,8 +124,8 @@
     {"name": "pay", "value": 8.0, "objective": 0.8, "deadline": 2.0, "effect": "once",
      "late_worth": 0.5, "group": "all", "stream": False},
 ]  # fmt: skip
-SETTINGS: dict[str, Any] = {
-    "discovery": "ask", "quantum": 0.005, "grades": CLASSES, "tenants": [], "weights": "off",
+DEFAULT_SETTINGS: dict[str, Any] = {
+    "discovery": "ask", "quantum": 0.005, "grades": DEFAULT_CLASSES, "tenants": [], "weights": "off",
     "report": {"names": ["busy_reqs", "pending"], "via": "on_probe"},
     "policy_limits": {
         "send_cap": 3, "may_duplicate": False, "may_cancel": True, "probes": True, "conn_idle": 30.0,
@@ -149,17 +149,17 @@
     proxies: ProxySizes = msgspec.field(default_factory=ProxySizes)
     callers: CallerSizes = msgspec.field(default_factory=CallerSizes)
     settings: dict[str, Any] = {}  # laid over SETTINGS, in the form of a proxy's configuration
-    troubles: list[Trouble] = []
+    troubles: list[Fault] = []
 
     def raw_settings(self) -> dict[str, Any]:
-        return _laid_over(SETTINGS, self.settings, "settings")
+        return _merge_settings(DEFAULT_SETTINGS, self.settings, "settings")
 
-    def module_settings(self) -> Settings:
+    def parsed_settings(self) -> Settings:
         raw = {**self.raw_settings(), "me": 0, "balancers": 1}
         try:
             return read_settings(flatten_settings(raw))
-        except ValueError as fault:
-            raise ExperimentError(f"settings: {fault}") from None
+        except ValueError as error:
+            raise ExperimentError(f"settings: {error}") from None
 
     @property
     def regions(self) -> list[list[str]]:
@@ -169,80 +169,80 @@
         return next(number for number, zones in enumerate(self.regions) if zone in zones)
 
 
-def _laid_over(base: dict[str, Any], changes: dict[str, Any], path: str) -> dict[str, Any]:
+def _merge_settings(base: dict[str, Any], changes: dict[str, Any], path: str) -> dict[str, Any]:
     merged = copy.deepcopy(base)
     for key, value in changes.items():
         if key not in base:
             raise ExperimentError(f"{path}.{key}: no such key")
         nested = isinstance(value, dict) and isinstance(base[key], dict)
-        merged[key] = _laid_over(base[key], value, f"{path}.{key}") if nested else value
+        merged[key] = _merge_settings(base[key], value, f"{path}.{key}") if nested else value
     return merged
 
 
-def _need(ok: bool, key: str, text: str) -> None:
-    if not ok:
-        raise ExperimentError(f"{key}: {text}")
+def _require(condition: bool, key: str, requirement: str) -> None:
+    if not condition:
+        raise ExperimentError(f"{key}: {requirement}")
 
 
 def check(experiment: Experiment) -> Experiment:
     """What types can't say; a key that would have no effect is an error too."""
     e = experiment
-    _need(0 < e.duration_s <= 600, "duration_s", "must be above 0 and at most 600")
-    _need(0 <= e.settle_s <= 60, "settle_s", "must be from 0 to 60")
-    _need(e.discovery.capacity_per_s > 0, "discovery.capacity_per_s", "must be above 0")
-    _need(e.backends.count >= 1, "backends.count", "must be at least 1")
-    _need(1 <= e.backends.services <= 64, "backends.services", "must be from 1 to 64")
-    _need(e.backends.cores >= 1, "backends.cores", "must be at least 1")
-    _need(e.backends.service_ms >= 0, "backends.service_ms", "must not be below 0")
-    _need(bool(e.backends.zones), "backends.zones", "must name a zone")
-    total = e.backends.count * e.backends.services
-    _need(total <= 20_000, "backends.count", "more than 20,000 in all")
-    listed = [zone for region in e.regions for zone in region]
-    _need(sorted(listed) == sorted(e.backends.zones), "backends.regions", "must name each zone once")
-    _need(0 <= e.proxies.real <= 64, "proxies.real", "must be from 0 to 64")
-    _need(0 <= e.proxies.hollow <= 4000, "proxies.hollow", "must be from 0 to 4000")
-    _need(e.proxies.real + e.proxies.hollow > 0, "proxies", "there is none")
-    _need(min(e.proxies.per_process, e.backends.per_process) >= 1, "per_process", "must be at least 1")
-    _need(e.proxies.hollow > 0 or not e.proxies.timed, "proxies.timed", "unused: no proxy is hollow")
-    _need(e.backends.services > 1 or e.backends.fanout == 1, "backends.fanout", "unused: one service")
-    _need(0 <= e.callers.rate_per_s <= 50_000, "callers.rate_per_s", "must be from 0 to 50,000")
-    _need(1 <= e.callers.processes <= 32, "callers.processes", "must be from 1 to 32")
-    _need(e.callers.rate_per_s > 0 or not e.callers.mix, "callers.mix", "unused: no calls are made")
-    classes = {cls.name for cls in e.module_settings().classes}
+    _require(0 < e.duration_s <= 600, "duration_s", "must be above 0 and at most 600")
+    _require(0 <= e.settle_s <= 60, "settle_s", "must be from 0 to 60")
+    _require(e.discovery.capacity_per_s > 0, "discovery.capacity_per_s", "must be above 0")
+    _require(e.backends.count >= 1, "backends.count", "must be at least 1")
+    _require(1 <= e.backends.services <= 64, "backends.services", "must be from 1 to 64")
+    _require(e.backends.cores >= 1, "backends.cores", "must be at least 1")
+    _require(e.backends.service_ms >= 0, "backends.service_ms", "must not be below 0")
+    _require(bool(e.backends.zones), "backends.zones", "must name a zone")
+    backend_count = e.backends.count * e.backends.services
+    _require(backend_count <= 20_000, "backends.count", "more than 20,000 in all")
+    zones_of_regions = [zone for region in e.regions for zone in region]
+    _require(sorted(zones_of_regions) == sorted(e.backends.zones), "backends.regions", "must name each zone once")
+    _require(0 <= e.proxies.real <= 64, "proxies.real", "must be from 0 to 64")
+    _require(0 <= e.proxies.hollow <= 4000, "proxies.hollow", "must be from 0 to 4000")
+    _require(e.proxies.real + e.proxies.hollow > 0, "proxies", "there is none")
+    _require(min(e.proxies.per_process, e.backends.per_process) >= 1, "per_process", "must be at least 1")
+    _require(e.proxies.hollow > 0 or not e.proxies.timed, "proxies.timed", "unused: no proxy is hollow")
+    _require(e.backends.services > 1 or e.backends.fanout == 1, "backends.fanout", "unused: one service")
+    _require(0 <= e.callers.rate_per_s <= 50_000, "callers.rate_per_s", "must be from 0 to 50,000")
+    _require(1 <= e.callers.processes <= 32, "callers.processes", "must be from 1 to 32")
+    _require(e.callers.rate_per_s > 0 or not e.callers.mix, "callers.mix", "unused: no calls are made")
+    class_names = {cls.name for cls in e.parsed_settings().classes}
     for name, share in e.callers.mix.items():
-        _need(name in classes, f"callers.mix.{name}", "no such class in the settings")
-        _need(share >= 0, f"callers.mix.{name}", "must not be below 0")
-    _need(not e.callers.mix or sum(e.callers.mix.values()) > 0, "callers.mix", "the shares add up to 0")
-    for number, trouble in enumerate(e.troubles):
-        _check_trouble(e, trouble, f"troubles[{number}]")
+        _require(name in class_names, f"callers.mix.{name}", "no such class in the settings")
+        _require(share >= 0, f"callers.mix.{name}", "must not be below 0")
+    _require(not e.callers.mix or sum(e.callers.mix.values()) > 0, "callers.mix", "the shares add up to 0")
+    for number, fault in enumerate(e.troubles):
+        _check_fault(e, fault, f"troubles[{number}]")
     return e
 
 
-def _check_trouble(e: Experiment, trouble: Trouble, path: str) -> None:
-    total = e.backends.count * e.backends.services
-    _need(0 <= trouble.at_s < e.duration_s, f"{path}.at_s", "unused: the run is over by then")
-    if isinstance(trouble, ZoneLoss):
-        _need(trouble.zone in e.backends.zones, f"{path}.zone", f"no such zone: {trouble.zone}")
-    if isinstance(trouble, RegionCut):
-        _need(len(e.regions) > 1, f"{path}.kind", "unused: there is one region")
-    if isinstance(trouble, Restarts | Crash):
-        _need(1 <= trouble.count <= total, f"{path}.count", f"must be from 1 to {total}, all backends")
-    if isinstance(trouble, Change):
-        _need(1 <= trouble.entries <= total, f"{path}.entries", f"must be from 1 to {total}, all backends")
-        _need(trouble.times >= 1 and trouble.every_s > 0, f"{path}.times", "must be at least 1")
+def _check_fault(experiment: Experiment, fault: Fault, path: str) -> None:
+    backend_count = experiment.backends.count * experiment.backends.services
+    _require(0 <= fault.at_s < experiment.duration_s, f"{path}.at_s", "unused: the run is over by then")
+    if isinstance(fault, ZoneLoss):
+        _require(fault.zone in experiment.backends.zones, f"{path}.zone", f"no such zone: {fault.zone}")
+    if isinstance(fault, RegionCut):
+        _require(len(experiment.regions) > 1, f"{path}.kind", "unused: there is one region")
+    if isinstance(fault, Restarts | Crash):
+        _require(1 <= fault.count <= backend_count, f"{path}.count", f"must be from 1 to {backend_count}, all backends")
+    if isinstance(fault, Change):
+        _require(1 <= fault.entries <= backend_count, f"{path}.entries", f"must be from 1 to {backend_count}, all backends")
+        _require(fault.times >= 1 and fault.every_s > 0, f"{path}.times", "must be at least 1")
 
 
 def parse(text: str | bytes) -> Experiment:
     """Raises ExperimentError."""
     try:
         return check(msgspec.toml.decode(text, type=Experiment))
-    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise ExperimentError(" ".join(str(fault).split())) from None
+    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ExperimentError(" ".join(str(error).split())) from None
 
 
 def load(path: Path) -> Experiment:
     """Raises ExperimentError, which names the file."""
     try:
         return parse(path.read_bytes())
-    except (OSError, ExperimentError) as fault:
-        raise ExperimentError(f"{path}: {fault}") from None
+    except (OSError, ExperimentError) as error:
+        raise ExperimentError(f"{path}: {error}") from None
--- a/granitepoint/fleet/fit.py
+++ b/granitepoint/fleet/fit.py
@@ -20,7 +20,7 @@
         return self.base + self.slope * x
 
     @property
-    def residual_share(self) -> float:
+    def relative_residual(self) -> float:
         """The residual as a share of the span of y."""
         ys = [y for _, y in self.points]
         span = max(ys) - min(ys)
@@ -35,17 +35,17 @@
     ys = np.array([y for _, y in points], dtype=float)
     design = np.stack([np.ones_like(xs), xs], axis=1)
     (base, slope), *_ = np.linalg.lstsq(design, ys, rcond=None)
-    left = ys - (base + slope * xs)
-    residual = float(np.sqrt(np.mean(left**2)))
+    residuals = ys - (base + slope * xs)
+    residual = float(np.sqrt(np.mean(residuals**2)))
     return Line(float(slope), float(base), residual, [(float(x), float(y)) for x, y in points])
 
 
 def fit_plane(rows: Sequence[Sequence[float]], ys: Sequence[float]) -> tuple[list[float], float]:
     """The weights of y = sum of weight x figure, and the residual's root mean square. Raises ValueError for
     fewer rows than weights, or figures that can't be told apart."""
-    design, wanted = np.array(rows, dtype=float), np.array(ys, dtype=float)
-    weights, _, rank, _ = np.linalg.lstsq(design, wanted, rcond=None)
+    design, observed = np.array(rows, dtype=float), np.array(ys, dtype=float)
+    weights, _, rank, _ = np.linalg.lstsq(design, observed, rcond=None)
     if len(rows) < design.shape[1] or rank < design.shape[1]:
         raise ValueError("the rows don't tell the weights apart")
-    residual = float(np.sqrt(np.mean((wanted - design @ weights) ** 2)))
+    residual = float(np.sqrt(np.mean((observed - design @ weights) ** 2)))
     return [float(weight) for weight in weights], residual
--- a/granitepoint/fleet/plan.py
+++ b/granitepoint/fleet/plan.py
@@ -8,8 +8,8 @@
 
 from granitepoint.fleet.experiment import Experiment
 
-BACKENDS, PROXIES, REAL, DESKS = 20, 40, 60, 70  # second figure of the loopback addresses
-HOST_SPAN = 250 * 250
+BACKEND_BLOCK, PROXY_BLOCK, REAL_PROXY_BLOCK, DISCOVERY_BLOCK = 20, 40, 60, 70  # second figure of the loopback addresses
+ADDRESSES_PER_BLOCK = 250 * 250
 
 
 class BackendPlan(msgspec.Struct):
@@ -38,14 +38,14 @@
     proxies: list[ProxyPlan]
 
 
-def host(block: int, number: int) -> str:
+def loopback_address(block: int, number: int) -> str:
     """A loopback address of its own for each number."""
-    number, low = divmod(number, 250)
-    high, middle = divmod(number, 250)
-    return f"127.{block + high}.{middle}.{low + 1}"
+    number, last_octet = divmod(number, 250)
+    block_offset, third_octet = divmod(number, 250)
+    return f"127.{block + block_offset}.{third_octet}.{last_octet + 1}"
 
 
-def derive(seed: int, *names: object) -> int:
+def derive_seed(seed: int, *names: object) -> int:
     """A seed for one part, the same in every run of the same experiment."""
     return zlib.crc32(" ".join(map(str, (seed, *names))).encode())
 
@@ -53,24 +53,24 @@
 def make_plan(experiment: Experiment) -> Plan:
     sizes, zones = experiment.backends, experiment.backends.zones
     backends = []
-    regions = len(experiment.regions)
+    region_count = len(experiment.regions)
     for number in range(sizes.count * sizes.services):
-        service, place = divmod(number, sizes.count)
-        zone = zones[place % len(zones)]
-        hosts = [host(BACKENDS, number * regions + region) for region in range(regions)]
-        backends.append(BackendPlan(f"b{service}-{place}", service, zone, place // len(zones) // 3, hosts))
+        service, index = divmod(number, sizes.count)
+        zone = zones[index % len(zones)]
+        hosts = [loopback_address(BACKEND_BLOCK, number * region_count + region) for region in range(region_count)]
+        backends.append(BackendPlan(f"b{service}-{index}", service, zone, index // len(zones) // 3, hosts))
     proxies: list[ProxyPlan] = []
-    first = experiment.proxies.real + experiment.proxies.hollow
-    for number in range(first):
+    first_tier_count = experiment.proxies.real + experiment.proxies.hollow
+    for number in range(first_tier_count):
         zone = zones[number % len(zones)]
         real = number < experiment.proxies.real
-        proxies.append(_proxy(experiment, f"n0-{number}", 0, zone, number, first, len(proxies), real=real))
+        proxies.append(_proxy(experiment, f"n0-{number}", 0, zone, number, first_tier_count, len(proxies), real=real))
     for backend in backends:
         if backend.service + 1 < sizes.services:
-            place = int(backend.name.rpartition("-")[2])
-            name = f"n{backend.service + 1}-{place}"
+            index = int(backend.name.rpartition("-")[2])
+            name = f"n{backend.service + 1}-{index}"
             proxies.append(
-                _proxy(experiment, name, backend.service + 1, backend.zone, place, sizes.count, len(proxies),
+                _proxy(experiment, name, backend.service + 1, backend.zone, index, sizes.count, len(proxies),
                        of_backend=backend.name)
             )  # fmt: skip
     return Plan(backends, proxies)
@@ -92,10 +92,10 @@
         service=service,
         zone=zone,
         region=experiment.region_of(zone),
-        host=host(REAL if real else PROXIES, number),
+        host=loopback_address(REAL_PROXY_BLOCK if real else PROXY_BLOCK, number),
         me=me,
         balancers=balancers,
-        seed=derive(experiment.seed, name),
+        seed=derive_seed(experiment.seed, name),
         real=real,
         of_backend=of_backend,
     )
--- a/granitepoint/fleet/results.py
+++ b/granitepoint/fleet/results.py
@@ -110,7 +110,7 @@
     why: str = ""
 
 
-T = TypeVar("T", bound=Record)
+RecordType = TypeVar("RecordType", bound=Record)
 AnyRecord = Begin | Process | Calls | Stages | Control | Backends | Proxies | Event | End
 
 
@@ -141,14 +141,14 @@
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
         try:
             records.append(decoder.decode(line))
-        except (msgspec.ValidationError, msgspec.DecodeError) as fault:
-            raise ResultsError(f"{path}:{number}: {fault}") from None
+        except (msgspec.ValidationError, msgspec.DecodeError) as error:
+            raise ResultsError(f"{path}:{number}: {error}") from None
     return records
 
 
-def only(records: Sequence[Record], kind: type[T]) -> T:
+def single_record(records: Sequence[Record], record_type: type[RecordType]) -> RecordType:
     """The one record of this kind. Raises ResultsError."""
-    found = [record for record in records if isinstance(record, kind)]
+    found = [record for record in records if isinstance(record, record_type)]
     if len(found) != 1:
-        raise ResultsError(f"{len(found)} records of kind {kind.__name__.lower()}, not one")
+        raise ResultsError(f"{len(found)} records of kind {record_type.__name__.lower()}, not one")
     return found[0]
--- a/granitepoint/fleet/run.py
+++ b/granitepoint/fleet/run.py
@@ -21,119 +21,119 @@
 from granitepoint.fleet.measure import Histogram, Usage, commit, machine
 from granitepoint.fleet.troubles import Landmark, Troubles, in_force_after
 
-LEAD = 0.2  # s between the order to call and the first call
-TAIL = 15.0  # s beyond the longest deadline in which the callers' last calls end
-LIMIT = 4.0  # s within which a change is to be in force everywhere
+START_DELAY = 0.2  # s between the order to call and the first call
+FINAL_CALLS_MARGIN = 15.0  # s beyond the longest deadline in which the callers' last calls end
+PROPAGATION_LIMIT = 4.0  # s within which a change is to be in force everywhere
 
-Report = Callable[[str, float], None]  # what is being done, and the share that is done
+ProgressCallback = Callable[[str, float], None]  # what is being done, and the share that is done
 
 
-def run(experiment: Experiment, path: Path, report: Report = lambda text, share: None) -> bool:
+def run(experiment: Experiment, path: Path, report_progress: ProgressCallback = lambda text, share: None) -> bool:
     """Writes the records to `path`; whether the run was complete. Raises FleetError after having written what
     was measured; an interrupt ends the run, and what was measured is kept."""
     writer = results.Writer(path)
     try:
-        return asyncio.run(_Run(experiment, writer, report).whole())
+        return asyncio.run(_ExperimentRun(experiment, writer, report_progress).execute())
     finally:
         writer.close()
 
 
-class _Run:
-    def __init__(self, experiment: Experiment, writer: results.Writer, report: Report) -> None:
-        self.experiment, self.writer, self.report = experiment, writer, report
-        self.mark = 0.0  # monotonic, when the measured time begins
-        self.before: dict[int, Usage] = {}
+class _ExperimentRun:
+    def __init__(self, experiment: Experiment, writer: results.Writer, report_progress: ProgressCallback) -> None:
+        self.experiment, self.writer, self.report_progress = experiment, writer, report_progress
+        self.measured_from = 0.0  # monotonic, when the measured time begins
+        self.usage_before: dict[int, Usage] = {}
         self.landmarks: list[Landmark] = []
-        self.collecting = False
+        self.collection_started = False
 
-    def note(self, what: str, figures: dict[str, Any], at: float | None = None) -> None:
-        since = (time.monotonic() if at is None else at) - self.mark
-        self.writer.write(results.Event(at_s=round(since, 3), what=what, figures=figures))
+    def record_event(self, what: str, figures: dict[str, Any], at: float | None = None) -> None:
+        elapsed = (time.monotonic() if at is None else at) - self.measured_from
+        self.writer.write(results.Event(at_s=round(elapsed, 3), what=what, figures=figures))
 
-    async def whole(self) -> bool:
+    async def execute(self) -> bool:
         began = datetime.now(UTC).isoformat(timespec="seconds")
-        plain: dict[str, Any] = msgspec.to_builtins(self.experiment)
-        self.writer.write(results.Begin(experiment=plain, machine=machine(), commit=commit(), began=began))
-        why = ""
+        experiment_fields: dict[str, Any] = msgspec.to_builtins(self.experiment)
+        self.writer.write(results.Begin(experiment=experiment_fields, machine=machine(), commit=commit(), began=began))
+        stop_reason = ""
         with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
             async with Fleet(self.experiment, Path(folder)) as fleet:
-                work = asyncio.ensure_future(self._measured(fleet))
-                bounds = asyncio.ensure_future(fleet.keep_in_bounds())
+                measurement = asyncio.ensure_future(self._measure(fleet))
+                memory_watch = asyncio.ensure_future(fleet.watch_memory())
                 try:
-                    await asyncio.wait((work, bounds), return_when=asyncio.FIRST_COMPLETED)
-                    if not work.done():
-                        await bounds  # says what was out of bounds
-                    await work
+                    await asyncio.wait((measurement, memory_watch), return_when=asyncio.FIRST_COMPLETED)
+                    if not measurement.done():
+                        await memory_watch  # says what was out of bounds
+                    await measurement
                 except asyncio.CancelledError:
                     current = asyncio.current_task()
                     if current is not None:
                         current.uncancel()
-                    why = "interrupted"
-                except Exception as fault:
-                    why = str(fault) or type(fault).__name__
+                    stop_reason = "interrupted"
+                except Exception as error:
+                    stop_reason = str(error) or type(error).__name__
                     raise
                 finally:
-                    for task in (work, bounds):
+                    for task in (measurement, memory_watch):
                         task.cancel()
-                    await asyncio.wait((work, bounds))
-                    if why and self.mark and not self.collecting:
+                    await asyncio.wait((measurement, memory_watch))
+                    if stop_reason and self.measured_from and not self.collection_started:
                         with contextlib.suppress(Exception):
-                            await self._collect(fleet, now=True)
-                    self.writer.write(results.End(complete=not why, why=why))
-        return not why
+                            await self._collect(fleet, without_waiting=True)
+                    self.writer.write(results.End(complete=not stop_reason, why=stop_reason))
+        return not stop_reason
 
-    async def _measured(self, fleet: Fleet) -> None:
-        e = self.experiment
-        self.report("starting", 0.0)
+    async def _measure(self, fleet: Fleet) -> None:
+        experiment = self.experiment
+        self.report_progress("starting", 0.0)
         await fleet.start()
-        begin = time.monotonic() + LEAD
-        mark = begin + e.settle_s
-        rate = e.callers.rate_per_s / e.callers.processes
-        end = mark + e.duration_s
-        await fleet.all("callers", "call", rate=rate, begin=begin, mark=mark, end=end)
-        self.report("settling", 0.0)
-        await asyncio.sleep(mark - time.monotonic())
+        calls_start = time.monotonic() + START_DELAY
+        measured_from = calls_start + experiment.settle_s
+        rate = experiment.callers.rate_per_s / experiment.callers.processes
+        calls_end = measured_from + experiment.duration_s
+        await fleet.send_to_role("callers", "call", rate=rate, begin=calls_start, mark=measured_from, end=calls_end)
+        self.report_progress("settling", 0.0)
+        await asyncio.sleep(measured_from - time.monotonic())
         for role in ("backends", "proxies", "discovery"):
-            await fleet.all(role, "mark")
-        self.before, self.mark = fleet.usage(), time.monotonic()
-        troubles = Troubles(fleet, self.mark, self.note)
+            await fleet.send_to_role(role, "mark")
+        self.usage_before, self.measured_from = fleet.usage(), time.monotonic()
+        troubles = Troubles(fleet, self.measured_from, self.record_event)
         self.landmarks = troubles.landmarks
         async with asyncio.TaskGroup() as group:
-            group.create_task(troubles.run(e.troubles))
-            group.create_task(self._pass_time())
-        await self._collect(fleet, now=False)
+            group.create_task(troubles.run(experiment.troubles))
+            group.create_task(self._wait_for_end())
+        await self._collect(fleet, without_waiting=False)
 
-    async def _pass_time(self) -> None:
-        whole = self.experiment.duration_s
-        while (spent := time.monotonic() - self.mark) < whole:
-            self.report("measuring", spent / whole)
-            await asyncio.sleep(min(0.5, whole - spent))
+    async def _wait_for_end(self) -> None:
+        duration_s = self.experiment.duration_s
+        while (elapsed := time.monotonic() - self.measured_from) < duration_s:
+            self.report_progress("measuring", elapsed / duration_s)
+            await asyncio.sleep(min(0.5, duration_s - elapsed))
 
-    async def _collect(self, fleet: Fleet, now: bool) -> None:
+    async def _collect(self, fleet: Fleet, without_waiting: bool) -> None:
         """Writes all records but the first and the last."""
-        self.collecting = True
-        self.report("collecting", 1.0)
-        span = time.monotonic() - self.mark
+        self.collection_started = True
+        self.report_progress("collecting", 1.0)
+        elapsed = time.monotonic() - self.measured_from
         self._write_processes(fleet, fleet.usage())
-        control = await fleet.ask_discovery("figures")
-        told = control.pop("told")
-        self.writer.write(results.Control(span_s=span, **control))
-        proxies = await fleet.all("proxies", "figures")
+        control = await fleet.send_to_discovery("figures")
+        written_at = control.pop("told")
+        self.writer.write(results.Control(span_s=elapsed, **control))
+        proxies = await fleet.send_to_role("proxies", "figures")
         self._write_proxies(fleet, proxies)
         await self._write_programs(fleet)
-        self._write_backends(fleet, await fleet.all("backends", "figures"))
-        in_force = {name: times for one in proxies for name, times in one["in_force"].items()}
-        starts = {name: times for one in proxies for name, times in one["starts"].items()}
-        self._write_landmarks(fleet, told, in_force, starts)
-        patience = max(cls.deadline for cls in self.experiment.module_settings().classes) + TAIL
-        callers = await fleet.all("callers", "figures", patience=patience, now=now)
+        self._write_backends(fleet, await fleet.send_to_role("backends", "figures"))
+        in_force = {name: times for reply in proxies for name, times in reply["in_force"].items()}
+        starts = {name: times for reply in proxies for name, times in reply["starts"].items()}
+        self._write_landmarks(fleet, written_at, in_force, starts)
+        timeout = max(cls.deadline for cls in self.experiment.parsed_settings().classes) + FINAL_CALLS_MARGIN
+        callers = await fleet.send_to_role("callers", "figures", timeout=timeout, now=without_waiting)
         if self.experiment.callers.rate_per_s > 0:
             self._write_calls(callers)
 
-    def _write_processes(self, fleet: Fleet, after: dict[int, Usage]) -> None:
+    def _write_processes(self, fleet: Fleet, usages_after: dict[int, Usage]) -> None:
         for role, name, pid, holds in fleet.processes():
-            early, late = self.before.get(pid), after.get(pid)
-            if early is None or late is None:
+            usage_before, usage_after = self.usage_before.get(pid), usages_after.get(pid)
+            if usage_before is None or usage_after is None:
                 continue  # it was replaced meanwhile
             self.writer.write(
                 results.Process(
@@ -141,117 +141,117 @@
                     name=name,
                     pid=pid,
                     holds=holds,
-                    span_s=round(late.at - early.at, 4),
-                    cpu_s=round(late.cpu_s - early.cpu_s, 4),
-                    memory_begin=early.memory,
-                    memory_end=late.memory,
+                    span_s=round(usage_after.at - usage_before.at, 4),
+                    cpu_s=round(usage_after.cpu_s - usage_before.cpu_s, 4),
+                    memory_begin=usage_before.memory,
+                    memory_end=usage_after.memory,
                 )
             )
 
-    def _write_proxies(self, fleet: Fleet, told: list[Any]) -> None:
-        if not told:
+    def _write_proxies(self, fleet: Fleet, replies: list[Any]) -> None:
+        if not replies:
             return
         totals: Counter[str] = Counter()
         merged: dict[str, Histogram] = {}
-        for one in told:
-            totals.update(one["totals"])
-            for name, packed in one["stages"].items():
+        for reply in replies:
+            totals.update(reply["totals"])
+            for name, packed in reply["stages"].items():
                 merged.setdefault(name, Histogram()).merge(Histogram(packed))
-        holds = sum(len(one["in_force"]) for one in told)
-        self.writer.write(results.Proxies(holds=holds, totals=dict(totals)))
+        proxy_count = sum(len(reply["in_force"]) for reply in replies)
+        self.writer.write(results.Proxies(holds=proxy_count, totals=dict(totals)))
         if self.experiment.proxies.timed:
             histograms = {name: histogram.summary() for name, histogram in merged.items()}
-            settling = sum(one["settling"] for one in told)
-            self.writer.write(results.Stages(proxies=holds, histograms=histograms, settling=settling))
+            settling = sum(reply["settling"] for reply in replies)
+            self.writer.write(results.Stages(proxies=proxy_count, histograms=histograms, settling=settling))
 
     async def _write_programs(self, fleet: Fleet) -> None:
-        for one in await fleet.all("programs", "figures"):
-            if one["ended"]:
-                self.note("real proxies have ended by themselves", {"names": one["ended"]})
+        for reply in await fleet.send_to_role("programs", "figures"):
+            if reply["ended"]:
+                self.record_event("real proxies have ended by themselves", {"names": reply["ended"]})
 
-    def _write_backends(self, fleet: Fleet, told: list[Any]) -> None:
+    def _write_backends(self, fleet: Fleet, replies: list[Any]) -> None:
         by_service: dict[int, Counter[str]] = {}
-        for one in told:
-            for service, counts in one.items():
+        for reply in replies:
+            for service, counts in reply.items():
                 by_service.setdefault(int(service), Counter()).update(counts)
         for service, counts in sorted(by_service.items()):
-            holds = sum(plan.service == service for plan in fleet.plan.backends)
-            self.writer.write(results.Backends(service=service, holds=holds, counts=dict(counts)))
+            backend_count = sum(plan.service == service for plan in fleet.plan.backends)
+            self.writer.write(results.Backends(service=service, holds=backend_count, counts=dict(counts)))
 
     def _write_landmarks(
-        self, fleet: Fleet, told: dict[str, Any], in_force: dict[str, Any], starts: dict[str, Any]
+        self, fleet: Fleet, written_at: dict[str, Any], in_force_at: dict[str, Any], starts: dict[str, Any]
     ) -> None:
         """For each kind of change, over its versions: until the last proxy had it, and how many never had."""
-        written = {name: {int(version): at for version, at in times.items()} for name, times in told.items()}
-        taken = {
-            name: {int(version): at for version, at in times.items()} for name, times in in_force.items()
+        written_by_proxy = {name: {int(version): at for version, at in times.items()} for name, times in written_at.items()}
+        in_force_by_proxy = {
+            name: {int(version): at for version, at in times.items()} for name, times in in_force_at.items()
         }
         labels: dict[str, list[Landmark]] = {}
         for landmark in self.landmarks:
             labels.setdefault(landmark.label, []).append(landmark)
         for label, landmarks in labels.items():
-            first = landmarks[0].since
-            lasts: list[float] = []
-            spans: list[float] = []
-            missing = late = 0
+            first_since = landmarks[0].since
+            slowest: list[float] = []
+            all_times: list[float] = []
+            never = over_limit = 0
             for landmark in landmarks:
-                own = []
+                version_times = []
                 for name, plan in fleet.proxies.items():
                     if plan.service != landmark.service or plan.zone not in landmark.zones:
                         continue
-                    times = taken[name] if name in taken else written[name]
-                    after = in_force_after(landmark, times, starts.get(name, ()))
-                    if after is None:
-                        missing += 1
+                    times = in_force_by_proxy[name] if name in in_force_by_proxy else written_by_proxy[name]
+                    seconds = in_force_after(landmark, times, starts.get(name, ()))
+                    if seconds is None:
+                        never += 1
                     else:
-                        own.append(after)
-                spans += own
-                late += sum(after > LIMIT for after in own)
-                if own:
-                    lasts.append(max(own))
-            if not spans:
-                self.note(f"in force: {label}", {"versions": len(landmarks), "never": missing}, first)
+                        version_times.append(seconds)
+                all_times += version_times
+                over_limit += sum(seconds > PROPAGATION_LIMIT for seconds in version_times)
+                if version_times:
+                    slowest.append(max(version_times))
+            if not all_times:
+                self.record_event(f"in force: {label}", {"versions": len(landmarks), "never": never}, first_since)
                 continue
             figures = {
                 "versions": len(landmarks),
-                "told": len(spans),
-                "never": missing,
-                "after 4 s": late,
-                "median_s": round(statistics.median(spans), 4),
-                "last_median_s": round(statistics.median(lasts), 4),
-                "last_worst_s": round(max(lasts), 4),
+                "told": len(all_times),
+                "never": never,
+                "after 4 s": over_limit,
+                "median_s": round(statistics.median(all_times), 4),
+                "last_median_s": round(statistics.median(slowest), 4),
+                "last_worst_s": round(max(slowest), 4),
             }
-            self.note(f"in force: {label}", figures, first)
+            self.record_event(f"in force: {label}", figures, first_since)
 
-    def _write_calls(self, told: list[Any]) -> None:
+    def _write_calls(self, replies: list[Any]) -> None:
         outcomes: Counter[str] = Counter()
         by_zone: Counter[str] = Counter()
         by_second: dict[int, Counter[str]] = {}
         latency: dict[str, Histogram] = {}
-        added, late = Histogram(), Histogram()
-        for one in told:
-            by_zone.update(one["by_zone"])
-            for second, counts in one["by_second"].items():
+        added_latency, late_sends = Histogram(), Histogram()
+        for reply in replies:
+            by_zone.update(reply["by_zone"])
+            for second, counts in reply["by_second"].items():
                 by_second.setdefault(int(second), Counter()).update(counts)
                 outcomes.update(counts)
-            for name, packed in one["latency"].items():
+            for name, packed in reply["latency"].items():
                 latency.setdefault(name, Histogram()).merge(Histogram(packed))
-            added.merge(Histogram(one["added"]))
-            late.merge(Histogram(one["late_sends"]))
+            added_latency.merge(Histogram(reply["added"]))
+            late_sends.merge(Histogram(reply["late_sends"]))
         shares = {second: counts["served"] / counts.total() for second, counts in by_second.items()}
-        worst = min(shares, key=lambda second: shares[second], default=0)
-        last = max(by_second, default=-1)
+        worst_second = min(shares, key=lambda second: shares[second], default=0)
+        last_second = max(by_second, default=-1)
         self.writer.write(
             results.Calls(
                 planned=outcomes.total(),
-                tries=sum(one["tries"] for one in told),
+                tries=sum(reply["tries"] for reply in replies),
                 outcomes=dict(outcomes),
                 by_zone=dict(by_zone),
-                worst_second={"second": float(worst), "share_in_time": round(shares.get(worst, 1.0), 4)},
+                worst_second={"second": float(worst_second), "share_in_time": round(shares.get(worst_second, 1.0), 4)},
                 latency={name: histogram.summary() for name, histogram in latency.items()},
-                added=added.summary(),
-                late_sends=late.summary(),
-                front_looks=sum(one["looks"] for one in told),
-                by_second=[dict(by_second.get(second, {})) for second in range(last + 1)],
+                added=added_latency.summary(),
+                late_sends=late_sends.summary(),
+                front_looks=sum(reply["looks"] for reply in replies),
+                by_second=[dict(by_second.get(second, {})) for second in range(last_second + 1)],
             )
         )
--- a/granitepoint/fleet/slopes.py
+++ b/granitepoint/fleet/slopes.py
@@ -12,21 +12,21 @@
 
 from granitepoint.fleet import results, state
 from granitepoint.fleet.experiment import (
-    CLASSES,
+    DEFAULT_CLASSES,
     BackendSizes,
     CallerSizes,
     Change,
     Experiment,
     ProxySizes,
     Restarts,
-    Trouble,
+    Fault,
 )
 from granitepoint.fleet.fit import fit_line, fit_plane
 from granitepoint.fleet.measure import commit, machine
-from granitepoint.fleet.run import Report, run
+from granitepoint.fleet.run import ProgressCallback, run
 
 SEED = 20260901
-MB = 1e6
+BYTES_PER_MB = 1e6
 Records = Sequence[results.AnyRecord]
 
 
@@ -54,63 +54,63 @@
 
 
 # readers
-def _of_role(records: Records, role: str) -> list[results.Process]:
-    return [one for one in records if isinstance(one, results.Process) and one.role == role]
+def _processes_of_role(records: Records, role: str) -> list[results.Process]:
+    return [record for record in records if isinstance(record, results.Process) and record.role == role]
 
 
-def cores_each(role: str) -> Callable[[Records], float]:
+def cores_per_item(role: str) -> Callable[[Records], float]:
     """Cores spent for each proxy (or other thing) that the role's processes hold."""
 
     def read(records: Records) -> float:
-        held = _of_role(records, role)
-        return sum(one.cores for one in held) / max(1, sum(one.holds for one in held))
+        processes = _processes_of_role(records, role)
+        return sum(process.cores for process in processes) / max(1, sum(process.holds for process in processes))
 
     return read
 
 
-def cores(role: str) -> Callable[[Records], float]:
-    return lambda records: sum(one.cores for one in _of_role(records, role))
+def total_cores(role: str) -> Callable[[Records], float]:
+    return lambda records: sum(process.cores for process in _processes_of_role(records, role))
 
 
-def memory_each(role: str) -> Callable[[Records], float]:
+def memory_per_process(role: str) -> Callable[[Records], float]:
     """Bytes for each of its processes."""
 
     def read(records: Records) -> float:
-        held = _of_role(records, role)
-        return sum(one.memory_end for one in held) / max(1, len(held))
+        processes = _processes_of_role(records, role)
+        return sum(process.memory_end for process in processes) / max(1, len(processes))
 
     return read
 
 
-def control(read: Callable[[results.Control], float]) -> Callable[[Records], float]:
-    return lambda records: read(results.only(records, results.Control))
+def from_control(read: Callable[[results.Control], float]) -> Callable[[Records], float]:
+    return lambda records: read(results.single_record(records, results.Control))
 
 
-def calls(read: Callable[[results.Calls], float]) -> Callable[[Records], float]:
-    return lambda records: read(results.only(records, results.Calls))
+def from_calls(read: Callable[[results.Calls], float]) -> Callable[[Records], float]:
+    return lambda records: read(results.single_record(records, results.Calls))
 
 
-def stage(name: str, share: str) -> Callable[[Records], float]:
-    return lambda records: results.only(records, results.Stages).histograms[name][share]
+def stage_latency(name: str, percentile: str) -> Callable[[Records], float]:
+    return lambda records: results.single_record(records, results.Stages).histograms[name][percentile]
 
 
-def last_in_force(records: Records) -> float:
+def max_propagation_time(records: Records) -> float:
     """Seconds until the last proxy had a change, at the worst change."""
-    lasts = [
-        float(one.figures.get("last_worst_s", 0.0))
-        for one in records
-        if isinstance(one, results.Event) and one.what.startswith("in force")
+    propagation_times = [
+        float(record.figures.get("last_worst_s", 0.0))
+        for record in records
+        if isinstance(record, results.Event) and record.what.startswith("in force")
     ]
-    return max(lasts, default=0.0)
+    return max(propagation_times, default=0.0)
 
 
-def begun_per_call(first: bool = False) -> Callable[[Records], float]:
+def started_per_call(at_first_service: bool = False) -> Callable[[Records], float]:
     """Requests begun at the deepest service, or at the first, for each call planned."""
 
     def read(records: Records) -> float:
-        services = [one for one in records if isinstance(one, results.Backends)]
-        at = (min if first else max)(services, key=lambda one: one.service)
-        return at.counts.get("begun", 0) / max(1, results.only(records, results.Calls).planned)
+        backend_records = [record for record in records if isinstance(record, results.Backends)]
+        selected = (min if at_first_service else max)(backend_records, key=lambda record: record.service)
+        return selected.counts.get("begun", 0) / max(1, results.single_record(records, results.Calls).planned)
 
     return read
 
@@ -119,33 +119,33 @@
     return (calls.outcomes.get("served", 0) + calls.outcomes.get("late", 0)) / max(1, calls.planned)
 
 
-def of_backends(count: str) -> Callable[[Records], float]:
+def backend_count_per_s(counter: str) -> Callable[[Records], float]:
     """A count of the backends, a second."""
 
     def read(records: Records) -> float:
-        span = results.only(records, results.Control).span_s
-        return sum(one.counts.get(count, 0) for one in records if isinstance(one, results.Backends)) / span
+        span = results.single_record(records, results.Control).span_s
+        return sum(record.counts.get(counter, 0) for record in records if isinstance(record, results.Backends)) / span
 
     return read
 
 
-BYTES_EACH = control(lambda c: (c.bytes_in + c.bytes_out) / c.span_s / c.desks)
-CALLS_EACH = control(lambda c: c.calls / c.span_s / c.desks)
+DISCOVERY_BYTES_PER_PROXY = from_control(lambda c: (c.bytes_in + c.bytes_out) / c.span_s / c.desks)
+DISCOVERY_CALLS_PER_PROXY = from_control(lambda c: c.calls / c.span_s / c.desks)
 
 
 def _experiment(
     name: str,
-    duration: float = 12.0,
+    duration_s: float = 12.0,
     backends: BackendSizes | None = None,
     proxies: ProxySizes | None = None,
     callers: CallerSizes | None = None,
-    troubles: Sequence[Trouble] = (),
+    troubles: Sequence[Fault] = (),
     settings: dict[str, object] | None = None,
 ) -> Experiment:
     return Experiment(
         name=name,
         seed=SEED,
-        duration_s=duration,
+        duration_s=duration_s,
         settle_s=3.0,
         backends=backends or BackendSizes(),
         proxies=proxies or ProxySizes(),
@@ -155,23 +155,23 @@
     )
 
 
-def _listed() -> Series:
+def _listed_series() -> Series:
     sizes = [
-        (float(n), _experiment(f"listed-{n}", backends=BackendSizes(count=n), proxies=ProxySizes(real=4)))
-        for n in (55, 110, 220, 440, 880)
+        (float(count), _experiment(f"listed-{count}", backends=BackendSizes(count=count), proxies=ProxySizes(real=4)))
+        for count in (55, 110, 220, 440, 880)
     ]
     return Series(
         per="listed backend",
         sizes=sizes,
         figures={
-            "cores of an idle real proxy": ("cores", cores_each("proxy")),
-            "memory of an idle real proxy": ("bytes", memory_each("proxy")),
-            "discovery bytes to an idle proxy": ("bytes/s", BYTES_EACH),
+            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "memory of an idle real proxy": ("bytes", memory_per_process("proxy")),
+            "discovery bytes to an idle proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
         },
     )
 
 
-def _rate() -> Series:
+def _rate_series() -> Series:
     sizes = [
         (
             float(rate),
@@ -182,26 +182,26 @@
         )
         for rate in (10, 40, 72, 150)
     ]  # fmt: skip
-    added = {
-        f"added by a real proxy, {share}": ("ms", calls(lambda c, key=f"p{share}_ms": c.added[key]))  # type: ignore[misc]
-        for share in ("50", "99", "99.9")
+    added_latency = {
+        f"added by a real proxy, {percentile}": ("ms", from_calls(lambda c, key=f"p{percentile}_ms": c.added[key]))  # type: ignore[misc]
+        for percentile in ("50", "99", "99.9")
     }
     return Series(
         per="call a second",
         sizes=sizes,
         figures={
-            "cores of a real proxy": ("cores", cores_each("proxy")),
-            "memory of a real proxy": ("bytes", memory_each("proxy")),
-            "probes": ("1/s", of_backends("probes")),
-            "bytes of probes": ("bytes/s", of_backends("probe bytes")),
-            "new connections to backends": ("1/s", of_backends("connections")),
-            "callers' own lateness, 99": ("ms", calls(lambda c: c.late_sends["p99_ms"])),
-            **added,
+            "cores of a real proxy": ("cores", cores_per_item("proxy")),
+            "memory of a real proxy": ("bytes", memory_per_process("proxy")),
+            "probes": ("1/s", backend_count_per_s("probes")),
+            "bytes of probes": ("bytes/s", backend_count_per_s("probe bytes")),
+            "new connections to backends": ("1/s", backend_count_per_s("connections")),
+            "callers' own lateness, 99": ("ms", from_calls(lambda c: c.late_sends["p99_ms"])),
+            **added_latency,
         },
     )
 
 
-def _stages() -> Series:
+def _stages_series() -> Series:
     sizes = [
         (
             float(rate),
@@ -212,45 +212,45 @@
         )
         for rate in (10, 40, 72, 150)
     ]  # fmt: skip
-    names = ("read", "batch", "pick", "connect", "prove", "answer", "whole")
+    stages = ("read", "batch", "pick", "connect", "prove", "answer", "whole")
     return Series(
         per="call a second",
         sizes=sizes,
         figures={
-            f"{name}, {share}": ("ms", stage(name, f"p{share}_ms"))
-            for name in names
-            for share in ("50", "99", "99.9")
+            f"{name}, {percentile}": ("ms", stage_latency(name, f"p{percentile}_ms"))
+            for name in stages
+            for percentile in ("50", "99", "99.9")
         },
     )
 
 
-def _watchers() -> Series:
+def _watchers_series() -> Series:
     sizes = [
         (
-            float(n),
+            float(count),
             _experiment(
-                f"watchers-{n}", 12.0, BackendSizes(count=100), ProxySizes(real=1, hollow=n - 1),
+                f"watchers-{count}", 12.0, BackendSizes(count=100), ProxySizes(real=1, hollow=count - 1),
                 troubles=[Change(at_s=1.0, times=10, every_s=1.0)],
             ),
         )
-        for n in (110, 220, 440, 880)
+        for count in (110, 220, 440, 880)
     ]  # fmt: skip
     return Series(
         per="proxy",
         sizes=sizes,
         figures={
-            "cores of the discovery stand-in": ("cores", cores("discovery")),
-            "memory of the discovery stand-in": ("bytes", memory_each("discovery")),
-            "calls to discovery": ("1/s", control(lambda c: c.calls / c.span_s)),
-            "bytes of discovery": ("bytes/s", control(lambda c: (c.bytes_in + c.bytes_out) / c.span_s)),
-            "bytes for each proxy": ("bytes/s", BYTES_EACH),
-            "cores of hollow proxies": ("cores", cores("proxies")),
-            "last proxy has a change": ("s", last_in_force),
+            "cores of the discovery stand-in": ("cores", total_cores("discovery")),
+            "memory of the discovery stand-in": ("bytes", memory_per_process("discovery")),
+            "calls to discovery": ("1/s", from_control(lambda c: c.calls / c.span_s)),
+            "bytes of discovery": ("bytes/s", from_control(lambda c: (c.bytes_in + c.bytes_out) / c.span_s)),
+            "bytes for each proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
+            "cores of hollow proxies": ("cores", total_cores("proxies")),
+            "last proxy has a change": ("s", max_propagation_time),
         },
     )
 
 
-def _changes() -> Series:
+def _changes_series() -> Series:
     sizes = [
         (
             rate,
@@ -265,86 +265,86 @@
         per="change a second",
         sizes=sizes,
         figures={
-            "cores of an idle real proxy": ("cores", cores_each("proxy")),
-            "bytes for each proxy": ("bytes/s", BYTES_EACH),
-            "calls of each proxy": ("1/s", CALLS_EACH),
-            "last proxy has a change": ("s", last_in_force),
+            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "bytes for each proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
+            "calls of each proxy": ("1/s", DISCOVERY_CALLS_PER_PROXY),
+            "last proxy has a change": ("s", max_propagation_time),
         },
     )
 
 
-def _entries() -> Series:
+def _entries_series() -> Series:
     sizes = [
         (
-            float(n),
+            float(count),
             _experiment(
-                f"entries-{n}", 12.0, BackendSizes(count=880), ProxySizes(real=4),
-                troubles=[Change(at_s=0.5, entries=n, times=11)],
+                f"entries-{count}", 12.0, BackendSizes(count=880), ProxySizes(real=4),
+                troubles=[Change(at_s=0.5, entries=count, times=11)],
             ),
         )
-        for n in (1, 110, 440, 880)
+        for count in (1, 110, 440, 880)
     ]  # fmt: skip
     return Series(
         per="entry changed a second",
         sizes=sizes,
         figures={
-            "cores of an idle real proxy": ("cores", cores_each("proxy")),
-            "bytes for each proxy": ("bytes/s", BYTES_EACH),
+            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "bytes for each proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
         },
     )
 
 
-def _restarts() -> Series:
+def _restarts_series() -> Series:
     sizes = [
         (
-            n / 12.0,
+            count / 12.0,
             _experiment(
-                f"restarts-{n}", 18.0, BackendSizes(count=220), ProxySizes(real=2, hollow=218),
-                troubles=[Restarts(at_s=1.0, count=n, over_s=12.0, proxies=True)],
+                f"restarts-{count}", 18.0, BackendSizes(count=220), ProxySizes(real=2, hollow=218),
+                troubles=[Restarts(at_s=1.0, count=count, over_s=12.0, proxies=True)],
             ),
         )
-        for n in (12, 24, 48, 96)
+        for count in (12, 24, 48, 96)
     ]  # fmt: skip
     return Series(
         per="restart a second of 220 backends with their proxies",
         sizes=sizes,
         figures={
-            "calls to discovery": ("1/s", control(lambda c: c.calls / c.span_s)),
-            "bytes for each proxy": ("bytes/s", BYTES_EACH),
-            "whole lists": ("1", control(lambda c: float(c.whole_lists))),
-            "cores of the discovery stand-in": ("cores", cores("discovery")),
-            "cores of an idle real proxy": ("cores", cores_each("proxy")),
-            "last proxy has a change": ("s", last_in_force),
+            "calls to discovery": ("1/s", from_control(lambda c: c.calls / c.span_s)),
+            "bytes for each proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
+            "whole lists": ("1", from_control(lambda c: float(c.whole_lists))),
+            "cores of the discovery stand-in": ("cores", total_cores("discovery")),
+            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "last proxy has a change": ("s", max_propagation_time),
         },
     )
 
 
-def _depth(deadline: float = 1.0) -> Series:
+def _depth_series(deadline_s: float = 1.0) -> Series:
     """One answer in a hundred is an error, so that retries at each depth show what they multiply."""
     proxies = ProxySizes(real=1, hollow=3, per_process=14)  # few: a loop's lag is taken off each budget
     callers = CallerSizes(rate_per_s=20.0, mix={"read": 1.0}, retries=2)
-    classes = [{**CLASSES[0], "deadline": deadline, "objective": 0.3 * deadline}]
+    classes = [{**DEFAULT_CLASSES[0], "deadline": deadline_s, "objective": 0.3 * deadline_s}]
     sizes = []
     for depth in (1, 4, 8, 16, 28):
         backends = BackendSizes(count=4, services=depth, service_ms=5.0, fail_share=0.01)
-        name = f"depth-{depth}-of-{deadline:g}s"
+        name = f"depth-{depth}-of-{deadline_s:g}s"
         settings: dict[str, object] = {"grades": classes}
         sizes.append((float(depth), _experiment(name, 12.0, backends, proxies, callers, (), settings)))
     return Series(
         per="service in the chain",
         sizes=sizes,
         figures={
-            "begun at the first for each call": ("1", begun_per_call(first=True)),
-            "begun at the deepest for each call": ("1", begun_per_call()),
-            "tries for each call": ("1", calls(lambda c: c.tries / max(1, c.planned))),
-            "served share": ("1", calls(served_share)),
-            "latency of read, 50": ("ms", calls(lambda c: c.latency.get("read", {}).get("p50_ms", 0.0))),
-            "latency of read, 99": ("ms", calls(lambda c: c.latency.get("read", {}).get("p99_ms", 0.0))),
+            "begun at the first for each call": ("1", started_per_call(at_first_service=True)),
+            "begun at the deepest for each call": ("1", started_per_call()),
+            "tries for each call": ("1", from_calls(lambda c: c.tries / max(1, c.planned))),
+            "served share": ("1", from_calls(served_share)),
+            "latency of read, 50": ("ms", from_calls(lambda c: c.latency.get("read", {}).get("p50_ms", 0.0))),
+            "latency of read, 99": ("ms", from_calls(lambda c: c.latency.get("read", {}).get("p99_ms", 0.0))),
         },
     )
 
 
-def _probes() -> Series:
+def _probes_series() -> Series:
     sizes = []
     for price in (0.06, 0.001):  # the cheap one makes the module ask a call's candidates first
         for rate in (10, 20, 40, 72):
@@ -359,74 +359,74 @@
                 )
             )  # fmt: skip
     return Series(
-        per="call a second", sizes=sizes, figures={"cores of a real proxy": ("cores", cores("proxy"))}
+        per="call a second", sizes=sizes, figures={"cores of a real proxy": ("cores", total_cores("proxy"))}
     )
 
 
 SERIES: dict[str, Callable[[], Series] | None] = {
     "state": None,  # in this process, without a fleet
-    "listed": _listed,
-    "rate": _rate,
-    "stages": _stages,
-    "watchers": _watchers,
-    "changes": _changes,
-    "entries": _entries,
-    "restarts": _restarts,
-    "probes": _probes,
-    "depth": _depth,
-    "deep": partial(_depth, 5.0),  # time enough
+    "listed": _listed_series,
+    "rate": _rate_series,
+    "stages": _stages_series,
+    "watchers": _watchers_series,
+    "changes": _changes_series,
+    "entries": _entries_series,
+    "restarts": _restarts_series,
+    "probes": _probes_series,
+    "depth": _depth_series,
+    "deep": partial(_depth_series, 5.0),  # time enough
 }
 
 
-def run_series(name: str, out: Path, report: Report) -> bool:
+def run_series(name: str, out: Path, report_progress: ProgressCallback) -> bool:
     """Runs one series and writes its lines; whether it was complete. Raises FleetError."""
-    make = SERIES[name]
+    make_series = SERIES[name]
     out.mkdir(parents=True, exist_ok=True)
-    here = machine()
+    machine_info = machine()
     lines: list[Slope] = []
 
-    def keep(figure: str, unit: str, per: str, points: Sequence[tuple[float, float]]) -> None:
+    def add_line(figure: str, unit: str, per: str, points: Sequence[tuple[float, float]]) -> None:
         line = fit_line(points)
         lines.append(
             Slope(series=name, figure=figure, unit=unit, per=per, slope=line.slope, base=line.base,
                   residual=line.residual, points=line.points, commit=commit(),
-                  load_average=here["load_average"])
+                  load_average=machine_info["load_average"])
         )  # fmt: skip
 
-    if make is None:
-        for what in state.MEASURES:
-            report(what, 0.0)
-            keep(f"state of each {what}", "bytes", what, state.measure(what))
+    if make_series is None:
+        for item in state.MEASURES:
+            report_progress(item, 0.0)
+            add_line(f"state of each {item}", "bytes", item, state.measure(item))
     else:
-        series = make()
-        read: list[tuple[float, Records]] = []
+        series = make_series()
+        runs: list[tuple[float, Records]] = []
         for number, (size, experiment) in enumerate(series.sizes):
             path = out / f"{experiment.name}.jsonl"
-            share = number / len(series.sizes)
-            report(experiment.name, share)
+            fraction_done = number / len(series.sizes)
+            report_progress(experiment.name, fraction_done)
             if not run(experiment, path):
                 return False
-            read.append((size, results.read(path)))
-        for figure, (unit, of) in series.figures.items():
-            keep(figure, unit, series.per, [(size, of(records)) for size, records in read])
+            runs.append((size, results.read(path)))
+        for figure, (unit, read_figure) in series.figures.items():
+            add_line(figure, unit, series.per, [(size, read_figure(records)) for size, records in runs])
         if name == "probes":
-            lines += _cost_of_probes(name, read, here["load_average"])
+            lines += _probe_cost_lines(name, runs, machine_info["load_average"])
     with (out / f"lines-{name}.jsonl").open("wb") as file:
         for slope in lines:
             file.write(msgspec.json.encode(slope) + b"\n")
     return True
 
 
-def _cost_of_probes(name: str, read: Sequence[tuple[float, Records]], load: object) -> list[Slope]:
+def _probe_cost_lines(name: str, runs: Sequence[tuple[float, Records]], load_average: object) -> list[Slope]:
     """The time of an idle second, of a call and of a probe, told apart over runs with few and many probes."""
-    rows, spent = [], []
-    for rate, records in read:
-        (process,) = _of_role(records, "proxy")
-        probes = sum(one.counts.get("probes", 0) for one in records if isinstance(one, results.Backends))
+    rows, cores_used = [], []
+    for rate, records in runs:
+        (process,) = _processes_of_role(records, "proxy")
+        probes = sum(record.counts.get("probes", 0) for record in records if isinstance(record, results.Backends))
         rows.append((1.0, rate, probes / process.span_s))
-        spent.append(process.cores)
-    weights, residual = fit_plane(rows, spent)
-    points = [(row[2], y) for row, y in zip(rows, spent, strict=True)]
+        cores_used.append(process.cores)
+    weights, residual = fit_plane(rows, cores_used)
+    points = [(row[2], y) for row, y in zip(rows, cores_used, strict=True)]
     return [
         Slope(
             series=name,
@@ -438,7 +438,7 @@
             residual=residual,
             points=points,
             commit=commit(),
-            load_average=load,
+            load_average=load_average,
         )
         for per, weight in zip(("call a second", "probe a second"), weights[1:], strict=True)
     ]
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from granitepoint.benchlink import read_settings
-from granitepoint.fleet.experiment import SETTINGS
+from granitepoint.fleet.experiment import DEFAULT_SETTINGS
 from granitepoint.net.config import Config, flatten_settings
 from granitepoint.net.driver import Driver
 from granitepoint.net.server import Request
@@ -35,7 +35,7 @@
          "type": "m1", "group": number // 3, "status": "Ready", "weight": 1.0, "since_ms": 0}
         for number in range(backends)
     ]  # fmt: skip
-    raw = {**SETTINGS, "me": 0, "balancers": 1, "zone": "a"}
+    raw = {**DEFAULT_SETTINGS, "me": 0, "balancers": 1, "zone": "a"}
     known = {"index": 1, "snapshot": True, "endpoints": entries}
     config = Config("n0", NOWHERE, NOWHERE, 1, 1024, 192.0, known, read_settings(flatten_settings(raw)))
     return Driver(config)
--- a/granitepoint/fleet/summary.py
+++ b/granitepoint/fleet/summary.py
@@ -12,8 +12,8 @@
 
 def print_summary(path: Path, console: Console) -> None:
     records = results.read(path)
-    begin = results.only(records, results.Begin)
-    end = results.only(records, results.End)
+    begin = results.single_record(records, results.Begin)
+    end = results.single_record(records, results.End)
     state = "complete" if end.complete else f"not complete: {end.why}"
     console.print(
         f"{begin.experiment['name']}: {state}; commit {begin.commit}, load at start "
@@ -25,41 +25,41 @@
     for record in records:
         if isinstance(record, results.Process):
             by_role.setdefault(record.role, []).append(record)
-    for role, held in by_role.items():
-        cores = sum(one.cores for one in held)
-        memory = sum(one.memory_end for one in held) / len(held) / 1e6
+    for role, processes in by_role.items():
+        cores = sum(process.cores for process in processes)
+        memory = sum(process.memory_end for process in processes) / len(processes) / 1e6
         table.add_row(
-            role, f"{len(held)}", f"{sum(one.holds for one in held)}", f"{cores:.3f}", f"{memory:.1f}"
+            role, f"{len(processes)}", f"{sum(process.holds for process in processes)}", f"{cores:.3f}", f"{memory:.1f}"
         )
     if by_role:
         console.print(table)
     for record in records:
         if isinstance(record, results.Calls):
             console.print(
-                f"calls: {record.planned} planned, {_counts(record.outcomes)}",
+                f"calls: {record.planned} planned, {_format_figures(record.outcomes)}",
                 highlight=False,
                 soft_wrap=True,
             )
             for name, figures in [*record.latency.items(), ("added by the proxy", record.added)]:
-                console.print(f"  {name}: {_counts(figures)}", highlight=False, soft_wrap=True)
+                console.print(f"  {name}: {_format_figures(figures)}", highlight=False, soft_wrap=True)
         elif isinstance(record, results.Stages):
             for name, figures in record.histograms.items():
-                console.print(f"  stage {name}: {_counts(figures)}", highlight=False, soft_wrap=True)
+                console.print(f"  stage {name}: {_format_figures(figures)}", highlight=False, soft_wrap=True)
         elif isinstance(record, results.Control):
-            each = record.desks * record.span_s
+            proxy_seconds = record.desks * record.span_s
             console.print(
                 f"discovery: {record.calls} calls, {record.whole_lists} whole lists, {record.refused} refused"
-                f", {(record.bytes_in + record.bytes_out) / each:.0f} bytes/s for each proxy",
+                f", {(record.bytes_in + record.bytes_out) / proxy_seconds:.0f} bytes/s for each proxy",
                 highlight=False, soft_wrap=True,
             )  # fmt: skip
         elif isinstance(record, results.Event):
             console.print(
-                f"{record.at_s:7.2f} s {record.what}  {_counts(record.figures)}",
+                f"{record.at_s:7.2f} s {record.what}  {_format_figures(record.figures)}",
                 highlight=False,
                 soft_wrap=True,
             )
 
 
-def _counts(figures: dict[str, object] | dict[str, int] | dict[str, float]) -> str:
+def _format_figures(figures: dict[str, object] | dict[str, int] | dict[str, float]) -> str:
     return ", ".join(f"{name} {value:g}" if isinstance(value, float) else f"{name} {value}"
                      for name, value in figures.items())  # fmt: skip
--- a/granitepoint/fleet/troubles.py
+++ b/granitepoint/fleet/troubles.py
@@ -15,7 +15,7 @@
     DiscoveryOutage,
     RegionCut,
     Restarts,
-    Trouble,
+    Fault,
     ZoneLoss,
 )
 from granitepoint.fleet.fleet import Fleet
@@ -41,7 +41,7 @@
         self.every_zone = frozenset(fleet.experiment.backends.zones)
         self.marks = 0
 
-    async def run(self, troubles: Iterable[Trouble]) -> None:
+    async def run(self, troubles: Iterable[Fault]) -> None:
         """Until the last of them is over."""
         kinds: dict[type, Callable[[Any], Coroutine[Any, Any, None]]] = {
             Change: self.change,
@@ -74,7 +74,7 @@
         for name in names:
             by_service.setdefault(self.fleet.backends[name].service, []).append(name)
         for service, group in by_service.items():
-            told = await self.fleet.ask_discovery("change", group, service=service, **changes)
+            told = await self.fleet.send_to_discovery("change", group, service=service, **changes)
             at = told["at"] if since is None else since
             self.landmarks.append(Landmark(label, service, told["version"], at, zones or self.every_zone))
 
@@ -109,36 +109,36 @@
         mates += [plan.name for plan in self.fleet.proxies.values() if plan.of_backend == name]
         await self.tell_list("restart: draining", [name], status="Terminating")
         await asyncio.sleep(drain)
-        await self.fleet.tell("stop", [name])
+        await self.fleet.send_to_holders("stop", [name])
         if mates:
-            await self.fleet.tell("stop", mates)
+            await self.fleet.send_to_holders("stop", mates)
         await self.tell_list("restart: gone", [name], status="Gone")
         await asyncio.sleep(down)
         if mates:
-            await self.fleet.tell("start", mates)
-        await self.fleet.tell("start", [name])
+            await self.fleet.send_to_holders("start", mates)
+        await self.fleet.send_to_holders("start", [name])
         await self.tell_list("restart: back", [name], status="Ready", since_ms=self.since_ms())
 
     async def crash(self, trouble: Crash) -> None:
         await self.until(trouble.at_s)
         names = self.some(trouble.count)
         self.note("crash", {"backends": len(names)})
-        await self.fleet.tell("stop", names)
+        await self.fleet.send_to_holders("stop", names)
         await asyncio.sleep(min(trouble.notice_s, trouble.for_s))
         await self.tell_list("crash: gone", names, status="Gone")
         await self.until(trouble.at_s + trouble.for_s)
-        await self.fleet.tell("start", names)
+        await self.fleet.send_to_holders("start", names)
         await self.tell_list("crash: back", names, status="Ready", since_ms=self.since_ms())
 
     async def discovery_outage(self, trouble: DiscoveryOutage) -> None:
         """A change is made while it is down, to be told once it is back."""
         await self.until(trouble.at_s)
-        await self.fleet.ask_discovery("down")
+        await self.fleet.send_to_discovery("down")
         self.note("discovery is down", {})
         await self.until(trouble.at_s + trouble.for_s)
         before = len(self.landmarks)
         await self.tell_list("outage: change", self.some(1), weight=2.0)
-        up = (await self.fleet.ask_discovery("up"))["at"]
+        up = (await self.fleet.send_to_discovery("up"))["at"]
         self._count_from(before, up)
         self.note("discovery is back", {})
 
@@ -152,18 +152,18 @@
         backends, proxies = self.of_zone(trouble.zone)
         others = self.every_zone - {trouble.zone}
         await asyncio.gather(
-            self.fleet.tell("cut", backends),
-            self.fleet.tell("stop", proxies),
-            self.fleet.ask_discovery("cut", [trouble.zone]),
+            self.fleet.send_to_holders("cut", backends),
+            self.fleet.send_to_holders("stop", proxies),
+            self.fleet.send_to_discovery("cut", [trouble.zone]),
         )
         self.note("a zone is lost", {"backends": len(backends), "proxies": len(proxies)})
         await asyncio.sleep(min(trouble.notice_s, trouble.for_s))
         await self.tell_list("zone: gone", backends, zones=others, status="Gone")
         await self.until(trouble.at_s + trouble.for_s)
-        await self.fleet.tell("stop", backends)
-        await self.fleet.ask_discovery("heal")
-        await self.fleet.tell("start", proxies)
-        await self.fleet.tell("start", backends)
+        await self.fleet.send_to_holders("stop", backends)
+        await self.fleet.send_to_discovery("heal")
+        await self.fleet.send_to_holders("start", proxies)
+        await self.fleet.send_to_holders("start", backends)
         await self.tell_list("zone: back", backends, status="Ready", since_ms=self.since_ms())
         self.note("the zone is back, cold", {})
 
@@ -175,9 +175,9 @@
         for region, zones in enumerate(regions):
             others = [number for number in range(len(regions)) if number != region]
             names = [name for name, plan in self.fleet.backends.items() if plan.zone in zones]
-            cut.append(partial(self.fleet.tell, names=names, regions=others))
+            cut.append(partial(self.fleet.send_to_holders, names=names, regions=others))
         far = [zone for zones in regions[1:] for zone in zones]
-        await asyncio.gather(*(one("cut") for one in cut), self.fleet.ask_discovery("cut", far))
+        await asyncio.gather(*(one("cut") for one in cut), self.fleet.send_to_discovery("cut", far))
         self.note("the regions are cut", {})
         await self.until(trouble.at_s + trouble.for_s / 2)
         near = frozenset(regions[0])
@@ -185,7 +185,7 @@
         version = self.landmarks[-1]
         await self.until(trouble.at_s + trouble.for_s)
         await asyncio.gather(*(one("heal") for one in cut))
-        healed = (await self.fleet.ask_discovery("heal"))["at"]
+        healed = (await self.fleet.send_to_discovery("heal"))["at"]
         self.landmarks.append(
             Landmark("cut: change, others after the heal", 0, version.version, healed, frozenset(far))
         )
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -29,13 +29,13 @@
 from granitepoint.fleet.discovery import Book, Counts, Discovery, Endpoint
 from granitepoint.fleet.experiment import Experiment
 from granitepoint.fleet.measure import Histogram
-from granitepoint.fleet.plan import BackendPlan, ProxyPlan, derive
+from granitepoint.fleet.plan import BackendPlan, ProxyPlan, derive_seed
 from granitepoint.fleet.proxies import Hollow, Stages
 from granitepoint.fleet.wire import Listener, Message, split_address
 from granitepoint.net import logs
 from granitepoint.net.config import Config, flatten_settings
 
-LONGEST_LIFE = 900.0  # s
+MAX_LIFETIME = 900.0  # s
 
 
 class BackendsSpec(msgspec.Struct, tag="backends"):
@@ -68,7 +68,7 @@
     known: dict[str, dict[str, Any]]  # by "service region"
 
 
-class ProgramsSpec(msgspec.Struct, tag="programs"):
+class RealProxiesSpec(msgspec.Struct, tag="programs"):
     """Real proxies: the program itself, each a process."""
 
     experiment: Experiment
@@ -85,7 +85,7 @@
     zones: dict[str, str]
 
 
-Spec = BackendsSpec | DiscoverySpec | ProxiesSpec | ProgramsSpec | CallersSpec
+Spec = BackendsSpec | DiscoverySpec | ProxiesSpec | RealProxiesSpec | CallersSpec
 
 
 class Command(msgspec.Struct):
@@ -122,39 +122,39 @@
     def __init__(self, spec: BackendsSpec) -> None:
         self.spec = spec
         sizes = spec.experiment.backends
-        settings = spec.experiment.module_settings()
+        settings = spec.experiment.parsed_settings()
         self.classes = {cls.name: cls for cls in settings.classes}
         self.fronts: dict[str, Front] = {}
-        self.calls_below = 0
-        fails = np.random.default_rng(derive(spec.seed, "fails"))
-        draws = iter(lambda: float(fails.random()), None)
-        times = hollow_backends.draw_times(sizes, derive(spec.seed, "times"))
-        last = sizes.services - 1
+        self.inner_call_count = 0
+        failure_rng = np.random.default_rng(derive_seed(spec.seed, "fails"))
+        failure_draws = iter(lambda: float(failure_rng.random()), None)
+        service_times = hollow_backends.draw_times(sizes, derive_seed(spec.seed, "times"))
+        last_service = sizes.services - 1
         self.backends = {
             plan.name: hollow_backends.Backend(
-                plan.name, plan.zone, plan.hosts, sizes, settings, times, draws,
-                self._inner if plan.service < last else None,
+                plan.name, plan.zone, plan.hosts, sizes, settings, service_times, failure_draws,
+                self._call_next_service if plan.service < last_service else None,
             )
             for plan in spec.backends
         }  # fmt: skip
         self.services = {plan.name: plan.service for plan in spec.backends}
-        self.sweep: asyncio.Task[None] | None = None
+        self.idle_sweep_task: asyncio.Task[None] | None = None
 
     async def start(self) -> dict[str, Any]:
         for backend in self.backends.values():
             backend.start()
-        self.sweep = asyncio.create_task(hollow_backends.sweep_idle(list(self.backends.values())))
-        return {name: [at.address for at in backend.listeners] for name, backend in self.backends.items()}
+        self.idle_sweep_task = asyncio.create_task(hollow_backends.sweep_idle(list(self.backends.values())))
+        return {name: [listener.address for listener in backend.listeners] for name, backend in self.backends.items()}
 
-    def _inner(self, backend: hollow_backends.Backend, message: Message) -> asyncio.Task[bool]:
+    def _call_next_service(self, backend: hollow_backends.Backend, message: Message) -> asyncio.Task[bool]:
         cls = self.classes[message.target[1:].partition("?")[0].partition("/")[0]]
-        budget = message.headers.get("x-budget", "")
-        given = float(budget[:-1]) / (1e3 if budget.endswith("m") else 1e6) if budget else cls.deadline
-        self.calls_below += 1
-        call_id = f"{backend.name}-{self.calls_below}"
+        budget_header = message.headers.get("x-budget", "")
+        budget_s = float(budget_header[:-1]) / (1e3 if budget_header.endswith("m") else 1e6) if budget_header else cls.deadline
+        self.inner_call_count += 1
+        call_id = f"{backend.name}-{self.inner_call_count}"
         fanout = self.spec.experiment.backends.fanout
         return asyncio.get_running_loop().create_task(
-            call_below(self.fronts[backend.name], cls, call_id, message.came + given, fanout)
+            call_below(self.fronts[backend.name], cls, call_id, message.came + budget_s, fanout)
         )
 
     async def do_wire(self, command: Command) -> dict[str, Any]:
@@ -210,8 +210,8 @@
         return {str(service): dict(count) for service, count in counts.items()}
 
     async def end(self) -> None:
-        if self.sweep is not None:
-            self.sweep.cancel()
+        if self.idle_sweep_task is not None:
+            self.idle_sweep_task.cancel()
 
 
 class DiscoveryRole(Role):
@@ -223,8 +223,8 @@
             for entry in entries:
                 book.add(entry, spec.addresses[entry.name])
             self.discovery.books.append(book)
-        self.bytes_before: dict[str, tuple[int, int]] = {}
-        self.busy_before = 0.0
+        self.bytes_at_mark: dict[str, tuple[int, int]] = {}
+        self.busy_at_mark = 0.0
 
     async def start(self) -> dict[str, Any]:
         desks = [
@@ -266,31 +266,31 @@
         discovery = self.discovery
         discovery.timeline.clear()
         discovery.began = time.monotonic()
-        self.busy_before = discovery.turns.busy
+        self.busy_at_mark = discovery.turns.busy
         for name, desk in discovery.desks.items():
             desk.counts = Counts()
-            self.bytes_before[name] = desk.listener.bytes_in, desk.listener.bytes_out
+            self.bytes_at_mark[name] = desk.listener.bytes_in, desk.listener.bytes_out
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
         discovery = self.discovery
-        names = ("calls", "whole_lists", "changes", "empty", "entries", "refused", "watches_begun", "renewed")
-        sums = Counter({name: 0 for name in names})
-        most = ins = outs = 0
+        count_names = ("calls", "whole_lists", "changes", "empty", "entries", "refused", "watches_begun", "renewed")
+        totals = Counter({name: 0 for name in count_names})
+        max_bytes = bytes_in = bytes_out = 0
         for name, desk in discovery.desks.items():
-            for count in names:
-                sums[count] += getattr(desk.counts, count)
-            before = self.bytes_before.get(name, (0, 0))
-            came, went = desk.listener.bytes_in - before[0], desk.listener.bytes_out - before[1]
-            ins, outs, most = ins + came, outs + went, max(most, came + went)
+            for count_name in count_names:
+                totals[count_name] += getattr(desk.counts, count_name)
+            before = self.bytes_at_mark.get(name, (0, 0))
+            received, sent = desk.listener.bytes_in - before[0], desk.listener.bytes_out - before[1]
+            bytes_in, bytes_out, max_bytes = bytes_in + received, bytes_out + sent, max(max_bytes, received + sent)
         return {
-            **sums,
+            **totals,
             "desks": len(discovery.desks),
-            "bytes_in": ins,
-            "bytes_out": outs,
-            "most_bytes_of_one": most,
-            "busy_s": discovery.turns.busy - self.busy_before,
-            "calls_by_100ms": {str(slot): count for slot, count in sorted(discovery.timeline.items())},
+            "bytes_in": bytes_in,
+            "bytes_out": bytes_out,
+            "most_bytes_of_one": max_bytes,
+            "busy_s": discovery.turns.busy - self.busy_at_mark,
+            "calls_by_100ms": {str(slot): count_name for slot, count_name in sorted(discovery.timeline.items())},
             "told": {name: desk.counts.told for name, desk in discovery.desks.items()},
         }
 
@@ -313,7 +313,7 @@
     def __init__(self, spec: ProxiesSpec) -> None:
         self.spec = spec
         sizes = spec.experiment.proxies
-        self.hollow: dict[str, Hollow] = {}
+        self.proxies: dict[str, Hollow] = {}
         for plan in spec.proxies:
             config = Config(
                 name=plan.name,
@@ -325,64 +325,64 @@
                 known=spec.known[f"{plan.service} {plan.region}"],
                 settings=read_settings(flatten_settings(proxy_settings(spec.experiment, plan))),
             )
-            self.hollow[plan.name] = Hollow(config, timed=sizes.timed)
-        self.before: Counter[str] = Counter()
+            self.proxies[plan.name] = Hollow(config, timed=sizes.timed)
+        self.totals_at_mark: Counter[str] = Counter()
 
     async def start(self) -> dict[str, Any]:
-        return {name: await proxy.start() for name, proxy in self.hollow.items()}
+        return {name: await proxy.start() for name, proxy in self.proxies.items()}
 
     async def do_start(self, command: Command) -> dict[str, Any]:
         for name in command.names:
-            await self.hollow[name].start()
+            await self.proxies[name].start()
         return {}
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
         for name in command.names:
-            self.hollow[name].end()
+            self.proxies[name].end()
         return {}
 
     def _totals(self) -> Counter[str]:
         totals: Counter[str] = Counter()
-        for proxy in self.hollow.values():
+        for proxy in self.proxies.values():
             totals.update(proxy.figures()["totals"])
         return totals
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
         gc.collect()
         gc.freeze()
-        self.before = self._totals()
-        for proxy in self.hollow.values():
+        self.totals_at_mark = self._totals()
+        for proxy in self.proxies.values():
             if proxy.driver is not None and proxy.timed:
                 proxy.driver.stages = proxy.stages = Stages()
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
         totals = self._totals()
-        totals.subtract(self.before)
-        merged: dict[str, Histogram] = {}
-        settling = 0
-        for proxy in self.hollow.values():
+        totals.subtract(self.totals_at_mark)
+        histograms: dict[str, Histogram] = {}
+        settling_calls = 0
+        for proxy in self.proxies.values():
             if proxy.stages is not None:
-                settling += proxy.stages.settling
+                settling_calls += proxy.stages.settling
                 for name, histogram in proxy.stages.histograms.items():
-                    merged.setdefault(name, Histogram()).merge(histogram)
-        figures = {name: proxy.figures() for name, proxy in self.hollow.items()}
+                    histograms.setdefault(name, Histogram()).merge(histogram)
+        figures = {name: proxy.figures() for name, proxy in self.proxies.items()}
         return {
             "totals": dict(totals),
-            "stages": {name: histogram.pack() for name, histogram in merged.items()},
-            "settling": settling,
-            "in_force": {name: figure["in_force"] for name, figure in figures.items()},
-            "starts": {name: figure["starts"] for name, figure in figures.items()},
-            "serving": {name: figure["serving"] for name, figure in figures.items()},
+            "stages": {name: histogram.pack() for name, histogram in histograms.items()},
+            "settling": settling_calls,
+            "in_force": {name: proxy_figures["in_force"] for name, proxy_figures in figures.items()},
+            "starts": {name: proxy_figures["starts"] for name, proxy_figures in figures.items()},
+            "serving": {name: proxy_figures["serving"] for name, proxy_figures in figures.items()},
         }
 
     async def end(self) -> None:
-        for proxy in self.hollow.values():
+        for proxy in self.proxies.values():
             proxy.end()
 
 
-class ProgramsRole(Role):
-    def __init__(self, spec: ProgramsSpec) -> None:
+class RealProxiesRole(Role):
+    def __init__(self, spec: RealProxiesSpec) -> None:
         self.spec = spec
         self.plans = {plan.name: plan for plan in spec.proxies}
         self.ports: dict[str, int] = {}
@@ -392,13 +392,13 @@
         import socket
 
         for name, plan in self.plans.items():
-            with socket.socket() as probe:  # nobody else has this address, so the port stays free
-                probe.bind((plan.host, 0))
-                self.ports[name] = probe.getsockname()[1]
+            with socket.socket() as temporary_socket:  # nobody else has this address, so the port stays free
+                temporary_socket.bind((plan.host, 0))
+                self.ports[name] = temporary_socket.getsockname()[1]
             await self._launch(name)
-        return self._told()
+        return self._addresses_and_pids()
 
-    def _told(self) -> dict[str, Any]:
+    def _addresses_and_pids(self) -> dict[str, Any]:
         return {
             "addresses": {name: f"{plan.host}:{self.ports[name]}" for name, plan in self.plans.items()},
             "pids": {name: process.pid for name, process in self.processes.items()},
@@ -407,7 +407,7 @@
     async def _launch(self, name: str) -> None:
         plan, sizes = self.plans[name], self.spec.experiment.proxies
         listen = f"{plan.host}:{self.ports[name]}"
-        raw = {
+        config = {
             "name": name,
             "listen": listen,
             "discovery": self.spec.discovery[name],
@@ -418,19 +418,19 @@
         }
         folder = Path(self.spec.folder)
         path = folder / f"{name}.json"
-        path.write_text(json.dumps(raw), encoding="utf-8")
-        environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
-        environ["EDGE_CONFIG"] = str(path)
+        path.write_text(json.dumps(config), encoding="utf-8")
+        environment = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
+        environment["EDGE_CONFIG"] = str(path)
         with (folder / f"{name}.log").open("ab") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "granitepoint", env=environ, stdin=asyncio.subprocess.DEVNULL,
+                sys.executable, "-m", "granitepoint", env=environment, stdin=asyncio.subprocess.DEVNULL,
                 stdout=log, stderr=log,
             )  # fmt: skip
 
     async def do_start(self, command: Command) -> dict[str, Any]:
         for name in command.names:
             await self._launch(name)
-        return self._told()
+        return self._addresses_and_pids()
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
         for name in command.names:
@@ -453,7 +453,7 @@
         self.spec = spec
         sizes = spec.experiment.callers
         self.front = Front(places(spec.proxies, spec.zones), sizes.notice_s)
-        settings = spec.experiment.module_settings()
+        settings = spec.experiment.parsed_settings()
         self.callers = Callers(
             self.front,
             settings.classes,
@@ -476,8 +476,8 @@
         self.callers.counting_from = args["mark"]
         if args["rate"] > 0:
             self.tasks.append(asyncio.create_task(self.front.keep_looking()))
-            run = self.callers.run(args["rate"], args["begin"], args["end"])
-            self.tasks.append(asyncio.create_task(run))
+            sending = self.callers.run(args["rate"], args["begin"], args["end"])
+            self.tasks.append(asyncio.create_task(sending))
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
@@ -504,7 +504,7 @@
     BackendsSpec: BackendsRole,
     DiscoverySpec: DiscoveryRole,
     ProxiesSpec: ProxiesRole,
-    ProgramsSpec: ProgramsRole,
+    RealProxiesSpec: RealProxiesRole,
     CallersSpec: CallersRole,
 }
 
@@ -514,33 +514,33 @@
     reader = asyncio.StreamReader(limit=1 << 28)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
-    def say(reply: Reply) -> None:
+    def send_reply(reply: Reply) -> None:
         sys.stdout.buffer.write(msgspec.json.encode(reply) + b"\n")
         sys.stdout.buffer.flush()
 
     spec: Spec = msgspec.json.decode(await reader.readline(), type=Spec)
     role: Role = ROLES[type(spec)](spec)
     try:
-        say(Reply(told=await role.start()))
+        send_reply(Reply(told=await role.start()))
         while line := await reader.readline():
             command: Command = msgspec.json.decode(line, type=Command)
             try:
-                say(Reply(command.number, await getattr(role, f"do_{command.do}")(command)))
-            except Exception as fault:
-                say(Reply(command.number, error=f"{command.do}: {fault!r}"))
+                send_reply(Reply(command.number, await getattr(role, f"do_{command.do}")(command)))
+            except Exception as error:
+                send_reply(Reply(command.number, error=f"{command.do}: {error!r}"))
     finally:
         await role.end()
 
 
-async def bounded() -> None:
-    async with asyncio.timeout(LONGEST_LIFE):
+async def serve_with_time_limit() -> None:
+    async with asyncio.timeout(MAX_LIFETIME):
         await serve()
 
 
 def main() -> int:
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run decides when this ends
     logs.configure(sys.stderr, level=logging.ERROR)
-    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(bounded())
+    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve_with_time_limit())
     return 0
 
 
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -108,9 +108,9 @@
         writer.write(record)
     assert results.read(path) == records  # also before it is closed
     writer.close()
-    assert results.only(records, results.Process).cores == 0.25
+    assert results.single_record(records, results.Process).cores == 0.25
     with pytest.raises(results.ResultsError, match="0 records of kind calls"):
-        results.only(records, results.Calls)
+        results.single_record(records, results.Calls)
     path.write_bytes(path.read_bytes() + b'{"type":"process"}\n')
     with pytest.raises(results.ResultsError, match=r"r\.jsonl:4: .*role"):
         results.read(path)
@@ -132,7 +132,7 @@
     assert line.residual == pytest.approx(0.0, abs=1e-9) and line.at(1000) == pytest.approx(101.0)
     bent = fit_line([(0, 0.0), (1, 1.0), (2, 0.0), (3, 1.0)])
     assert bent.slope == pytest.approx(0.2) and bent.residual == pytest.approx(0.2**0.5)
-    assert bent.residual_share == pytest.approx(0.2**0.5)
+    assert bent.relative_residual == pytest.approx(0.2**0.5)
     with pytest.raises(ValueError, match="two sizes"):
         fit_line([(1, 1.0), (1, 2.0)])
 
--- a/tests/test_fleet_run.py
+++ b/tests/test_fleet_run.py
@@ -79,19 +79,19 @@
     processes = [one for one in records if isinstance(one, results.Process)]
     assert {one.role for one in processes} == {"backends", "discovery", "proxies", "callers", "proxy"}
     assert all(one.memory_end > 1_000_000 and one.span_s >= 2.4 for one in processes)
-    calls = results.only(records, results.Calls)
+    calls = results.single_record(records, results.Calls)
     assert calls.planned == sum(calls.outcomes.values()) > 60
     assert calls.outcomes["served"] > 0 and set(calls.latency) == {"read", "order", "pay"}
     deep = [one for one in records if isinstance(one, results.Backends)]
     assert [one.service for one in deep] == [0, 1] and all(one.counts["served"] > 0 for one in deep)
-    stages = results.only(records, results.Stages)
+    stages = results.single_record(records, results.Stages)
     assert stages.proxies == 9 and stages.histograms["whole"]["count"] > 0
     assert stages.histograms["prove"]["p50_ms"] >= 0.9  # the last byte is held back for 1 ms
     told = {one.what: one.figures for one in records if isinstance(one, results.Event)}
     change = told["in force: change"]  # one entry of each service
     assert change["versions"] == 2 and change["told"] + change["never"] == 4 + 6 and change["told"] > 0
     assert {"in force: restart: back", "in force: outage: change", "the regions are healed"} <= set(told)
-    assert results.only(records, results.Control).desks == 10
+    assert results.single_record(records, results.Control).desks == 10
     assert not alive(records)
 
 
@@ -109,9 +109,9 @@
     finally:
         signal.signal(signal.SIGINT, before)
     records = results.read(path)
-    end = results.only(records, results.End)
+    end = results.single_record(records, results.End)
     assert not end.complete and end.why == "interrupted"
-    assert results.only(records, results.Control).desks == 10
+    assert results.single_record(records, results.Control).desks == 10
     assert len([one for one in records if isinstance(one, results.Process)]) >= 5
     assert not alive(records)
 
@@ -126,7 +126,7 @@
     assert app(["run", str(source), "--out", str(tmp_path)], result_action="return_value") == 0
     said = capsys.readouterr().out
     assert "tiny: complete" in said and "served" in said and "added by the proxy" in said
-    assert results.only(results.read(tmp_path / "tiny.jsonl"), results.End).complete
+    assert results.single_record(results.read(tmp_path / "tiny.jsonl"), results.End).complete
 
 
 def test_the_proxy_and_the_simulators_adapter_import_nothing_of_it() -> None:
--- a/tests/test_fleet_stand_ins.py
+++ b/tests/test_fleet_stand_ins.py
@@ -16,7 +16,7 @@
 from granitepoint.fleet.backends import Backend, draw_times
 from granitepoint.fleet.callers import Callers, Front, Place, request
 from granitepoint.fleet.discovery import RENEWAL, Book, Desk, Discovery, Endpoint, Turns
-from granitepoint.fleet.experiment import SETTINGS, BackendSizes, DiscoverySizes
+from granitepoint.fleet.experiment import DEFAULT_SETTINGS, BackendSizes, DiscoverySizes
 from granitepoint.fleet.wire import Message, split_address
 from granitepoint.interface import Effect, RequestClass, Settings
 
@@ -378,4 +378,4 @@
 
 
 def test_the_settings_of_a_fleet_are_those_of_the_settings_page() -> None:
-    assert {"grades", "policy_limits", "contract", "report", "discovery", "quantum"} <= set(SETTINGS)
+    assert {"grades", "policy_limits", "contract", "report", "discovery", "quantum"} <= set(DEFAULT_SETTINGS)
