--- a/granitepoint/fleet/run.py
+++ b/granitepoint/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: start, settle, measure with troubles, collect, end."""
+"""One run of an experiment: starts the fleet, lets it settle, measures it under faults, collects the results."""
 
 from __future__ import annotations
 
@@ -21,16 +21,21 @@
 from granitepoint.fleet.measure import Histogram, Usage, commit, machine
 from granitepoint.fleet.troubles import Landmark, Troubles, in_force_after
 
-START_DELAY = 0.2  # s between the order to call and the first call
-FINAL_CALLS_MARGIN = 15.0  # s beyond the longest deadline in which the callers' last calls end
-PROPAGATION_LIMIT = 4.0  # s within which a change is to be in force everywhere
+START_DELAY = 0.2  # s between the command to the callers and the first call
+FINAL_CALLS_MARGIN = 15.0  # s added to the longest deadline, in which the callers' last calls end
+PROPAGATION_LIMIT = 4.0  # s within which a change has to be in force at every proxy
 
-ProgressCallback = Callable[[str, float], None]  # what is being done, and the share that is done
+ProgressCallback = Callable[[str, float], None]  # the current phase, and the fraction that is done
 
 
-def run(experiment: Experiment, path: Path, report_progress: ProgressCallback = lambda text, share: None) -> bool:
-    """Writes the records to `path`; whether the run was complete. Raises FleetError after having written what
-    was measured; an interrupt ends the run, and what was measured is kept."""
+def run(
+    experiment: Experiment, path: Path, report_progress: ProgressCallback = lambda text, share: None
+) -> bool:
+    """Runs the experiment and writes its records to `path`; returns whether the run was complete.
+
+    Raises FleetError after what was measured has been written. An interrupt ends the run; what was measured
+    until then is written.
+    """
     writer = results.Writer(path)
     try:
         return asyncio.run(_ExperimentRun(experiment, writer, report_progress).execute())
@@ -39,21 +44,29 @@
 
 
 class _ExperimentRun:
-    def __init__(self, experiment: Experiment, writer: results.Writer, report_progress: ProgressCallback) -> None:
+    """The state of one run."""
+
+    def __init__(
+        self, experiment: Experiment, writer: results.Writer, report_progress: ProgressCallback
+    ) -> None:
         self.experiment, self.writer, self.report_progress = experiment, writer, report_progress
-        self.measured_from = 0.0  # monotonic, when the measured time begins
+        self.measured_from = 0.0  # monotonic; 0: the measured time has not started
         self.usage_before: dict[int, Usage] = {}
         self.landmarks: list[Landmark] = []
         self.collection_started = False
 
     def record_event(self, what: str, figures: dict[str, Any], at: float | None = None) -> None:
+        """Writes an event; `at` is its monotonic time, now by default."""
         elapsed = (time.monotonic() if at is None else at) - self.measured_from
         self.writer.write(results.Event(at_s=round(elapsed, 3), what=what, figures=figures))
 
     async def execute(self) -> bool:
+        """Runs the whole experiment, from the first record to the last; returns whether it was complete."""
         began = datetime.now(UTC).isoformat(timespec="seconds")
         experiment_fields: dict[str, Any] = msgspec.to_builtins(self.experiment)
-        self.writer.write(results.Begin(experiment=experiment_fields, machine=machine(), commit=commit(), began=began))
+        self.writer.write(
+            results.Begin(experiment=experiment_fields, machine=machine(), commit=commit(), began=began)
+        )
         stop_reason = ""
         with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
             async with Fleet(self.experiment, Path(folder)) as fleet:
@@ -62,7 +75,7 @@
                 try:
                     await asyncio.wait((measurement, memory_watch), return_when=asyncio.FIRST_COMPLETED)
                     if not measurement.done():
-                        await memory_watch  # says what was out of bounds
+                        await memory_watch  # raises FleetError, which names the excess
                     await measurement
                 except asyncio.CancelledError:
                     current = asyncio.current_task()
@@ -83,6 +96,7 @@
         return not stop_reason
 
     async def _measure(self, fleet: Fleet) -> None:
+        """Starts the fleet, waits for it to settle, injects the faults and collects the results."""
         experiment = self.experiment
         self.report_progress("starting", 0.0)
         await fleet.start()
@@ -90,7 +104,9 @@
         measured_from = calls_start + experiment.settle_s
         rate = experiment.callers.rate_per_s / experiment.callers.processes
         calls_end = measured_from + experiment.duration_s
-        await fleet.send_to_role("callers", "call", rate=rate, begin=calls_start, mark=measured_from, end=calls_end)
+        await fleet.send_to_role(
+            "callers", "call", rate=rate, begin=calls_start, mark=measured_from, end=calls_end
+        )
         self.report_progress("settling", 0.0)
         await asyncio.sleep(measured_from - time.monotonic())
         for role in ("backends", "proxies", "discovery"):
@@ -104,13 +120,17 @@
         await self._collect(fleet, without_waiting=False)
 
     async def _wait_for_end(self) -> None:
+        """Waits until the measured time is over, and reports the progress meanwhile."""
         duration_s = self.experiment.duration_s
         while (elapsed := time.monotonic() - self.measured_from) < duration_s:
             self.report_progress("measuring", elapsed / duration_s)
             await asyncio.sleep(min(0.5, duration_s - elapsed))
 
     async def _collect(self, fleet: Fleet, without_waiting: bool) -> None:
-        """Writes all records but the first and the last."""
+        """Writes all records but the first and the last.
+
+        With `without_waiting`, calls that are still open are left out.
+        """
         self.collection_started = True
         self.report_progress("collecting", 1.0)
         elapsed = time.monotonic() - self.measured_from
@@ -131,10 +151,11 @@
             self._write_calls(callers)
 
     def _write_processes(self, fleet: Fleet, usages_after: dict[int, Usage]) -> None:
+        """Writes the CPU time and memory of each process that ran throughout the measured time."""
         for role, name, pid, holds in fleet.processes():
             usage_before, usage_after = self.usage_before.get(pid), usages_after.get(pid)
             if usage_before is None or usage_after is None:
-                continue  # it was replaced meanwhile
+                continue  # started or ended during the measured time
             self.writer.write(
                 results.Process(
                     role=role,
@@ -149,6 +170,7 @@
             )
 
     def _write_proxies(self, fleet: Fleet, replies: list[Any]) -> None:
+        """Writes the counts of the hollow proxies and, where they were timed, the stages of their calls."""
         if not replies:
             return
         totals: Counter[str] = Counter()
@@ -165,11 +187,13 @@
             self.writer.write(results.Stages(proxies=proxy_count, histograms=histograms, settling=settling))
 
     async def _write_programs(self, fleet: Fleet) -> None:
+        """Writes an event for real proxies that have exited unexpectedly."""
         for reply in await fleet.send_to_role("programs", "figures"):
             if reply["ended"]:
                 self.record_event("real proxies have ended by themselves", {"names": reply["ended"]})
 
     def _write_backends(self, fleet: Fleet, replies: list[Any]) -> None:
+        """Writes the counts of the backends of each service."""
         by_service: dict[int, Counter[str]] = {}
         for reply in replies:
             for service, counts in reply.items():
@@ -181,8 +205,15 @@
     def _write_landmarks(
         self, fleet: Fleet, written_at: dict[str, Any], in_force_at: dict[str, Any], starts: dict[str, Any]
     ) -> None:
-        """For each kind of change, over its versions: until the last proxy had it, and how many never had."""
-        written_by_proxy = {name: {int(version): at for version, at in times.items()} for name, times in written_at.items()}
+        """Writes how long changes of the server lists took to reach the proxies, for each kind of change.
+
+        Measured are all versions of that kind and, for each version, all proxies of the zones that it was to
+        reach. `written_at` and `in_force` map each proxy to its versions and their monotonic times. Hollow
+        proxies report when a version came into force; for real ones the time counts at which discovery wrote it.
+        """
+        written_by_proxy = {
+            name: {int(version): at for version, at in times.items()} for name, times in written_at.items()
+        }
         in_force_by_proxy = {
             name: {int(version): at for version, at in times.items()} for name, times in in_force_at.items()
         }
@@ -210,7 +241,9 @@
                 if version_times:
                     slowest.append(max(version_times))
             if not all_times:
-                self.record_event(f"in force: {label}", {"versions": len(landmarks), "never": never}, first_since)
+                self.record_event(
+                    f"in force: {label}", {"versions": len(landmarks), "never": never}, first_since
+                )
                 continue
             figures = {
                 "versions": len(landmarks),
@@ -224,6 +257,7 @@
             self.record_event(f"in force: {label}", figures, first_since)
 
     def _write_calls(self, replies: list[Any]) -> None:
+        """Merges and writes the results of all callers."""
         outcomes: Counter[str] = Counter()
         by_zone: Counter[str] = Counter()
         by_second: dict[int, Counter[str]] = {}
@@ -247,7 +281,10 @@
                 tries=sum(reply["tries"] for reply in replies),
                 outcomes=dict(outcomes),
                 by_zone=dict(by_zone),
-                worst_second={"second": float(worst_second), "share_in_time": round(shares.get(worst_second, 1.0), 4)},
+                worst_second={
+                    "second": float(worst_second),
+                    "share_in_time": round(shares.get(worst_second, 1.0), 4),
+                },
                 latency={name: histogram.summary() for name, histogram in latency.items()},
                 added=added_latency.summary(),
                 late_sends=late_sends.summary(),
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -1,7 +1,7 @@
-"""One process of a fleet: holds many stand-ins of one role, and does what the run tells it, line by line.
+"""One worker process of a fleet: simulates many members of one role, as commanded over a pipe.
 
-Standard input: the role, then commands; standard output: an answer to each. It ends with its input, so that
-nothing outlives the run that started it, and after LONGEST_LIFE whatever happens.
+Standard input: the role, then commands, one JSON line each; standard output: a reply to each. The process
+ends with its input, so that it doesn't outlive the run that started it, and after MAX_LIFETIME in any case.
 """
 
 from __future__ import annotations
@@ -39,13 +39,15 @@
 
 
 class BackendsSpec(msgspec.Struct, tag="backends"):
+    """The simulated backends of one worker process."""
+
     experiment: Experiment
     seed: int
     backends: list[BackendPlan]
 
 
 class DeskPlan(msgspec.Struct):
-    """Where one proxy asks."""
+    """The discovery address of one proxy."""
 
     name: str
     service: int
@@ -55,71 +57,91 @@
 
 
 class DiscoverySpec(msgspec.Struct, tag="discovery"):
+    """The discovery service, with the server lists that it starts with."""
+
     experiment: Experiment
-    lists: list[list[Endpoint]]  # of each service
-    addresses: dict[str, list[str]]  # of each backend, by region
-    desks: list[DeskPlan]
+    lists: list[list[Endpoint]]  # by service
+    addresses: dict[str, list[str]]  # backend: its address for each region
+    desks: list[DeskPlan]  # one for each proxy
 
 
 class ProxiesSpec(msgspec.Struct, tag="proxies"):
+    """The hollow proxies of one worker process."""
+
     experiment: Experiment
     proxies: list[ProxyPlan]
-    discovery: dict[str, str]  # where each asks
-    known: dict[str, dict[str, Any]]  # by "service region"
+    discovery: dict[str, str]  # proxy: its discovery address
+    known: dict[str, dict[str, Any]]  # "service region": the list in the configuration
 
 
 class RealProxiesSpec(msgspec.Struct, tag="programs"):
-    """Real proxies: the program itself, each a process."""
+    """All real proxies: each is the program itself in a process of its own."""
 
     experiment: Experiment
     proxies: list[ProxyPlan]
-    discovery: dict[str, str]
+    discovery: dict[str, str]  # as in ProxiesSpec
     known: dict[str, dict[str, Any]]
-    folder: str
+    folder: str  # of configurations and logs
 
 
 class CallersSpec(msgspec.Struct, tag="callers"):
+    """The callers of one worker process."""
+
     experiment: Experiment
     seed: int
-    proxies: dict[str, str]
-    zones: dict[str, str]
+    proxies: dict[str, str]  # proxy: address
+    zones: dict[str, str]  # proxy: zone
 
 
 Spec = BackendsSpec | DiscoverySpec | ProxiesSpec | RealProxiesSpec | CallersSpec
 
 
 class Command(msgspec.Struct):
-    number: int  # of the order; its reply has the same
+    """One line of input after the role: the method `do_<do>` of the role is called with it."""
+
+    number: int  # unique; the reply has the same number
     do: str
-    names: list[str] = []
+    names: list[str] = []  # members that it applies to
     args: dict[str, Any] = {}
 
 
 class Reply(msgspec.Struct):
-    number: int = 0  # 0: it has started
-    told: dict[str, Any] = {}
-    error: str = ""
+    """One line of output: the reply to a command, or the report that the role has started."""
+
+    number: int = 0  # of the command; 0: the role has started
+    told: dict[str, Any] = {}  # the result
+    error: str = ""  # why the command failed
 
 
 class Role:
-    """`start` makes all ready; `do_X` carries out command X. Both answer with what the run needs to know."""
+    """What a worker process simulates.
+
+    `start` prepares everything; `do_X` carries out the command X. Both return what the run needs to know.
+    `end` is called when the input ends.
+    """
 
     async def start(self) -> dict[str, Any]:
+        """Prepares the role; returns addresses and the like."""
         raise NotImplementedError
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
-        """The measured time begins."""
+        """Starts the measured time: counts from before it are not reported."""
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns what was counted since `do_mark`."""
         return {}
 
     async def end(self) -> None:
+        """Stops what the role has started."""
         pass
 
 
 class BackendsRole(Role):
+    """Simulated backends, of one service or of several."""
+
     def __init__(self, spec: BackendsSpec) -> None:
+        """Creates the backends; those of every service but the last call the next service."""
         self.spec = spec
         sizes = spec.experiment.backends
         settings = spec.experiment.parsed_settings()
@@ -141,15 +163,24 @@
         self.idle_sweep_task: asyncio.Task[None] | None = None
 
     async def start(self) -> dict[str, Any]:
+        """Opens all listeners; returns the addresses of each backend, one for the callers of each region."""
         for backend in self.backends.values():
             backend.start()
         self.idle_sweep_task = asyncio.create_task(hollow_backends.sweep_idle(list(self.backends.values())))
-        return {name: [listener.address for listener in backend.listeners] for name, backend in self.backends.items()}
+        return {
+            name: [listener.address for listener in backend.listeners]
+            for name, backend in self.backends.items()
+        }
 
     def _call_next_service(self, backend: hollow_backends.Backend, message: Message) -> asyncio.Task[bool]:
+        """Makes a backend's own calls to the next service; whether all were served is the task's result."""
         cls = self.classes[message.target[1:].partition("?")[0].partition("/")[0]]
         budget_header = message.headers.get("x-budget", "")
-        budget_s = float(budget_header[:-1]) / (1e3 if budget_header.endswith("m") else 1e6) if budget_header else cls.deadline
+        budget_s = (
+            float(budget_header[:-1]) / (1e3 if budget_header.endswith("m") else 1e6)
+            if budget_header
+            else cls.deadline
+        )
         self.inner_call_count += 1
         call_id = f"{backend.name}-{self.inner_call_count}"
         fanout = self.spec.experiment.backends.fanout
@@ -158,28 +189,31 @@
         )
 
     async def do_wire(self, command: Command) -> dict[str, Any]:
-        """Which proxy each backend calls through."""
+        """Sets the proxy through which each backend calls the next service."""
         for name, address in command.args.items():
             self.fronts[name] = Front([Place(split_address(address), "", up=True)], 0.0)
         return {}
 
     async def do_start(self, command: Command) -> dict[str, Any]:
+        """Starts the named backends again, cold."""
         for name in command.names:
             self.backends[name].start(cold=True)
         return {}
 
     async def do_drain(self, command: Command) -> dict[str, Any]:
+        """Lets the named backends drain."""
         for name in command.names:
             self.backends[name].drain()
         return {}
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
+        """Stops the named backends as if their processes were killed."""
         for name in command.names:
             self.backends[name].stop()
         return {}
 
     def _listeners(self, command: Command) -> list[Listener]:
-        """Of the named backends, those for the callers of the given regions."""
+        """The listeners of the named backends, for the callers of the given regions or else of all."""
         regions = command.args.get("regions")
         return [
             listener
@@ -189,11 +223,13 @@
         ]
 
     async def do_cut(self, command: Command) -> dict[str, Any]:
+        """Makes the selected listeners silent, as in a network partition."""
         for listener in self._listeners(command):
             listener.cut()
         return {}
 
     async def do_heal(self, command: Command) -> dict[str, Any]:
+        """Makes the selected listeners reachable again."""
         for listener in self._listeners(command):
             listener.heal()
         return {}
@@ -204,6 +240,7 @@
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the summed counts of the backends, by service."""
         counts: dict[int, Counter[str]] = {}
         for name, backend in self.backends.items():
             counts.setdefault(self.services[name], Counter()).update(backend.counts)
@@ -215,7 +252,10 @@
 
 
 class DiscoveryRole(Role):
+    """The simulated discovery service, with one address for each proxy."""
+
     def __init__(self, spec: DiscoverySpec) -> None:
+        """Creates the server list of each service."""
         self.spec = spec
         self.discovery = Discovery(spec.experiment.discovery)
         for entries in spec.lists:
@@ -227,6 +267,11 @@
         self.busy_at_mark = 0.0
 
     async def start(self) -> dict[str, Any]:
+        """Opens an address for each proxy.
+
+        Returns these addresses, and the first list of each service and region as proxies get it in their
+        configuration.
+        """
         desks = [
             self.discovery.add_desk(plan.name, plan.service, plan.zone, plan.region, plan.host)
             for plan in self.spec.desks
@@ -239,6 +284,7 @@
         return {"desks": {desk.name: desk.listener.address for desk in desks}, "known": known}
 
     async def do_change(self, command: Command) -> dict[str, Any]:
+        """Changes entries of one service's list; returns the new version and the monotonic time."""
         args = command.args
         version = self.discovery.change(
             args["service"], command.names, args.get("status", ""), args.get("weight", 0.0),
@@ -247,18 +293,22 @@
         return {"version": version, "at": time.monotonic()}
 
     async def do_down(self, command: Command) -> dict[str, Any]:
+        """Takes discovery down: connections are reset and new ones refused."""
         self.discovery.down()
         return {}
 
     async def do_up(self, command: Command) -> dict[str, Any]:
+        """Brings discovery back; returns the monotonic time."""
         self.discovery.up()
         return {"at": time.monotonic()}
 
     async def do_cut(self, command: Command) -> dict[str, Any]:
+        """Cuts off the proxies of the named zones."""
         self.discovery.cut(command.names)
         return {}
 
     async def do_heal(self, command: Command) -> dict[str, Any]:
+        """Makes all proxies reach discovery again; returns the monotonic time."""
         self.discovery.heal()
         return {"at": time.monotonic()}
 
@@ -273,8 +323,22 @@
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the counts of all proxies together.
+
+        `most_bytes_of_one` is the largest number of bytes exchanged with one proxy. `told` has for each proxy
+        the monotonic time at which each version was first sent to it.
+        """
         discovery = self.discovery
-        count_names = ("calls", "whole_lists", "changes", "empty", "entries", "refused", "watches_begun", "renewed")
+        count_names = (
+            "calls",
+            "whole_lists",
+            "changes",
+            "empty",
+            "entries",
+            "refused",
+            "watches_begun",
+            "renewed",
+        )
         totals = Counter({name: 0 for name in count_names})
         max_bytes = bytes_in = bytes_out = 0
         for name, desk in discovery.desks.items():
@@ -282,7 +346,11 @@
                 totals[count_name] += getattr(desk.counts, count_name)
             before = self.bytes_at_mark.get(name, (0, 0))
             received, sent = desk.listener.bytes_in - before[0], desk.listener.bytes_out - before[1]
-            bytes_in, bytes_out, max_bytes = bytes_in + received, bytes_out + sent, max(max_bytes, received + sent)
+            bytes_in, bytes_out, max_bytes = (
+                bytes_in + received,
+                bytes_out + sent,
+                max(max_bytes, received + sent),
+            )
         return {
             **totals,
             "desks": len(discovery.desks),
@@ -290,13 +358,15 @@
             "bytes_out": bytes_out,
             "most_bytes_of_one": max_bytes,
             "busy_s": discovery.turns.busy - self.busy_at_mark,
-            "calls_by_100ms": {str(slot): count_name for slot, count_name in sorted(discovery.timeline.items())},
+            "calls_by_100ms": {
+                str(slot): count_name for slot, count_name in sorted(discovery.timeline.items())
+            },
             "told": {name: desk.counts.told for name, desk in discovery.desks.items()},
         }
 
 
 def proxy_settings(experiment: Experiment, plan: ProxyPlan) -> dict[str, Any]:
-    """The settings object that this proxy finds in its configuration."""
+    """The settings object in the configuration of this proxy."""
     names = [f"tier{number}" for number in range(experiment.backends.services)]
     return {
         **experiment.raw_settings(),
@@ -310,7 +380,10 @@
 
 
 class ProxiesRole(Role):
+    """Hollow proxies: the real driver and decision module, many to a process."""
+
     def __init__(self, spec: ProxiesSpec) -> None:
+        """Creates the proxies without starting them."""
         self.spec = spec
         sizes = spec.experiment.proxies
         self.proxies: dict[str, Hollow] = {}
@@ -329,19 +402,23 @@
         self.totals_at_mark: Counter[str] = Counter()
 
     async def start(self) -> dict[str, Any]:
+        """Starts all proxies; returns the address of each."""
         return {name: await proxy.start() for name, proxy in self.proxies.items()}
 
     async def do_start(self, command: Command) -> dict[str, Any]:
+        """Starts the named proxies again."""
         for name in command.names:
             await self.proxies[name].start()
         return {}
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
+        """Ends the named proxies as if their processes were killed."""
         for name in command.names:
             self.proxies[name].end()
         return {}
 
     def _totals(self) -> Counter[str]:
+        """The counts of all proxies since they were created."""
         totals: Counter[str] = Counter()
         for proxy in self.proxies.values():
             totals.update(proxy.figures()["totals"])
@@ -357,6 +434,11 @@
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the summed counts, and the stage times of calls as packed histograms.
+
+        `in_force` and `starts` have for each proxy the monotonic times at which versions came into force and at
+        which it was started; `serving` has the size of its server pool.
+        """
         totals = self._totals()
         totals.subtract(self.totals_at_mark)
         histograms: dict[str, Histogram] = {}
@@ -382,6 +464,8 @@
 
 
 class RealProxiesRole(Role):
+    """Starts, restarts and kills real proxies."""
+
     def __init__(self, spec: RealProxiesSpec) -> None:
         self.spec = spec
         self.plans = {plan.name: plan for plan in spec.proxies}
@@ -389,10 +473,13 @@
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self) -> dict[str, Any]:
+        """Starts all proxies; returns their addresses and process ids."""
         import socket
 
         for name, plan in self.plans.items():
-            with socket.socket() as temporary_socket:  # nobody else has this address, so the port stays free
+            with (
+                socket.socket() as temporary_socket
+            ):  # the loopback address is the proxy's own, so its port stays free
                 temporary_socket.bind((plan.host, 0))
                 self.ports[name] = temporary_socket.getsockname()[1]
             await self._launch(name)
@@ -405,6 +492,7 @@
         }
 
     async def _launch(self, name: str) -> None:
+        """Writes the configuration of a proxy and starts its process, which logs to a file beside it."""
         plan, sizes = self.plans[name], self.spec.experiment.proxies
         listen = f"{plan.host}:{self.ports[name]}"
         config = {
@@ -428,27 +516,32 @@
             )  # fmt: skip
 
     async def do_start(self, command: Command) -> dict[str, Any]:
+        """Starts the named proxies again; returns the addresses and process ids of all."""
         for name in command.names:
             await self._launch(name)
         return self._addresses_and_pids()
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
+        """Kills the named proxies."""
         for name in command.names:
             self.processes[name].kill()
             await self.processes[name].wait()
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the names of proxies whose process has exited."""
         return {"ended": [name for name, process in self.processes.items() if process.returncode is not None]}
 
     async def end(self) -> None:
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
-                process.kill()  # all is measured by now, so nothing is to be answered any more
+                process.kill()  # all measurements are done, so a graceful shutdown would only take time
             await process.wait()
 
 
 class CallersRole(Role):
+    """Callers that send at a planned rate, through a front that chooses a proxy of their zone."""
+
     def __init__(self, spec: CallersSpec) -> None:
         self.spec = spec
         sizes = spec.experiment.callers
@@ -467,11 +560,12 @@
         self.planned = 0
 
     async def start(self) -> dict[str, Any]:
+        """Waits until every proxy is healthy."""
         await self.front.until_ready()
         return {}
 
     async def do_call(self, command: Command) -> dict[str, Any]:
-        """From `begin` to `end`, of which what is planned from `mark` on is counted."""
+        """Sends calls from `begin` to `end`; calls that are planned from `mark` on are counted."""
         args = command.args
         self.callers.counting_from = args["mark"]
         if args["rate"] > 0:
@@ -481,6 +575,7 @@
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the results of the calls; waits until the last has ended, unless `now` is set."""
         for task in self.tasks[1:]:
             if not command.args.get("now"):
                 await task
@@ -510,6 +605,7 @@
 
 
 async def serve() -> None:
+    """Carries out the commands on standard input until it ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 28)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -533,12 +629,14 @@
 
 
 async def serve_with_time_limit() -> None:
+    """As `serve`, for at most MAX_LIFETIME. Raises TimeoutError."""
     async with asyncio.timeout(MAX_LIFETIME):
         await serve()
 
 
 def main() -> int:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run decides when this ends
+    """Runs the worker process; returns its exit status."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run ends this process, also on an interrupt
     logs.configure(sys.stderr, level=logging.ERROR)
     asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve_with_time_limit())
     return 0
