--- a/granitepoint/fleet/__main__.py
+++ b/granitepoint/fleet/__main__.py
@@ -1,4 +1,7 @@
-"""The command: `python -m granitepoint.fleet run EXPERIMENT.toml --out DIR`, and `slopes --out DIR`."""
+"""The command line: `python -m granitepoint.fleet run EXPERIMENT.toml --out DIR`, or `slopes --out DIR`.
+
+Exit status: 0, or 1 if the fleet failed, 2 for bad input, 130 after an interrupt.
+"""
 
 from __future__ import annotations
 
@@ -27,6 +30,7 @@
 
 @contextmanager
 def progress_bar(name: str) -> Iterator[fleet_run.ProgressCallback]:
+    """Shows a progress bar on standard error; yields the callback that updates it."""
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
     with Progress(*columns, console=error_console, transient=True) as display:
         task = display.add_task(name, total=1.0)
@@ -61,7 +65,9 @@
     """Run the scale series, and fit a straight line to each figure; the lines go to OUT/slopes.jsonl."""
     unknown = [name for name in only or [] if name not in scale_series.SERIES]
     if unknown:
-        error_console.print(f"fleet: no such series: {unknown[0]}; there are {', '.join(scale_series.SERIES)}")
+        error_console.print(
+            f"fleet: no such series: {unknown[0]}; there are {', '.join(scale_series.SERIES)}"
+        )
         return EXIT_BAD_INPUT
     try:
         for name in only or scale_series.SERIES:
--- a/granitepoint/fleet/experiment.py
+++ b/granitepoint/fleet/experiment.py
@@ -1,4 +1,7 @@
-"""An experiment: sizes, troubles and seed, read from a TOML file. Times are in seconds unless a key says."""
+"""An experiment file in TOML: the sizes of a fleet, the faults to inject and a seed.
+
+Times are in seconds unless the key names another unit.
+"""
 
 from __future__ import annotations
 
@@ -18,52 +21,66 @@
 
 
 class _Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """A table of the file in which unknown keys are errors."""
+
     pass
 
 
 class DiscoverySizes(_Strict):
-    capacity_per_s: float = 2000.0  # answers, one after another
-    entry_us: float = 2.0  # work for each entry of an answer
-    patience_s: float = 2.0  # a call whose turn comes later is refused
-    kept_changes: int = 512  # versions; a watch from before them is told the whole list
+    """The simulated discovery service, which answers one call at a time."""
+
+    capacity_per_s: float = 2000.0  # answers a second
+    entry_us: float = 2.0  # processing time for each entry of an answer
+    patience_s: float = 2.0  # a call that would wait longer is refused
+    kept_changes: int = 512  # versions; a watch from an older one gets the whole list
 
 
 class BackendSizes(_Strict):
+    """The simulated backends."""
+
     count: int = 20  # of each service
-    services: int = 1  # more than one: a chain, each backend calling the next service through its own proxy
-    fanout: int = 1  # calls that it makes, one after another
+    services: int = 1  # above 1: a chain; each backend calls the next service through a proxy of its own
+    fanout: int = 1  # calls of a backend to the next service for each request, one after another
     zones: list[str] = msgspec.field(default_factory=lambda: ["a", "b"])
-    regions: list[list[str]] = []  # zones of each; none: one region
-    service_ms: float = 12.0  # mean
-    spread: float = 0.5  # sigma of the log-normal draw; 0: none
-    fail_share: float = 0.0  # answered with 500
-    cores: int = 4  # requests that run at a time
-    queue: int = 64
-    connections: int = 256
+    regions: list[list[str]] = []  # the zones of each region; none: a single region
+    service_ms: float = 12.0  # mean of the service time
+    spread: float = 0.5  # sigma of the log-normal service time; 0: constant
+    fail_share: float = 0.0  # share of requests that are answered with 500
+    cores: int = 4  # concurrent requests
+    queue: int = 64  # requests that may wait for a core
+    connections: int = 256  # limit
     handshake_ms: float = 0.0  # added to the first request of a connection
-    per_process: int = 200
+    per_process: int = 200  # backends in one worker process
 
 
 class ProxySizes(_Strict):
-    real: int = 1  # of the first service, as processes of their own
-    hollow: int = 0  # of the first service; those of a chain's backends come on top
-    per_process: int = 110
-    timed: bool = False  # hollow ones split each call's time
-    sockets: int = 1024
-    memory_mb: float = 192.0
+    """The proxies in front of the first service.
+
+    A real proxy is the program in a process of its own. Hollow proxies run the same driver and decision
+    module, many to a process.
+    """
+
+    real: int = 1  # real proxies of the first service
+    hollow: int = 0  # hollow proxies of the first service; those of a chain's backends are added
+    per_process: int = 110  # hollow proxies in one worker process
+    timed: bool = False  # hollow proxies measure the stages of each call
+    sockets: int = 1024  # limit of each proxy
+    memory_mb: float = 192.0  # limit of each proxy
 
 
 class CallerSizes(_Strict):
-    rate_per_s: float = 50.0  # planned sends, over all zones
+    """The simulated callers and the front through which they reach the proxies."""
+
+    rate_per_s: float = 50.0  # planned calls of all zones together
     processes: int = 1
-    mix: dict[str, float] = {}  # share of each class; none: all alike
-    retries: int = 0  # further tries of a class that is safe to repeat, or of a refused call
-    retry_wait_s: float = 0.05  # doubled at each
-    notice_s: float = 3.0  # between the front's looks at /healthz
+    mix: dict[str, float] = {}  # share of each class; none: equal shares
+    retries: int = 0  # of calls of a class that is safe to repeat, and of refused calls
+    retry_wait_s: float = 0.05  # before the first retry; doubles with each
+    notice_s: float = 3.0  # between the front's health checks of a proxy
 
 
 class Change(_Strict, tag="change", tag_field="kind"):
-    """Entries change their weight at once."""
+    """Changes the weights of `entries` backends, all at once, `times` times."""
 
     at_s: float
     entries: int = 1
@@ -72,18 +89,18 @@
 
 
 class Restarts(_Strict, tag="restarts", tag_field="kind"):
-    """Backends drain, stop and come back cold, spread over a span."""
+    """Drains, stops and restarts backends one after another over a period; they come back cold."""
 
     at_s: float
     count: int
     over_s: float
     drain_s: float = 1.0
     down_s: float = 2.0
-    proxies: bool = False  # as many proxies of the first service restart with them
+    proxies: bool = False  # as many hollow proxies of the first service restart with them
 
 
 class Crash(_Strict, tag="crash", tag_field="kind"):
-    """Backends die unannounced; the list says so later; they come back cold."""
+    """Kills backends without notice; discovery lists that only later. They come back cold."""
 
     at_s: float
     count: int
@@ -92,14 +109,17 @@
 
 
 class DiscoveryOutage(_Strict, tag="discovery_outage", tag_field="kind"):
-    """Discovery is down; a change waits for each proxy when it is back."""
+    """Takes discovery down. A change made meanwhile has to reach each proxy when it is back."""
 
     at_s: float
     for_s: float
 
 
 class ZoneLoss(_Strict, tag="zone_loss", tag_field="kind"):
-    """A zone's backends and proxies go silent; they come back as new processes, the backends cold."""
+    """Cuts off a zone: its backends become silent and its proxies are killed.
+
+    They come back as new processes, the backends cold.
+    """
 
     at_s: float
     for_s: float
@@ -108,7 +128,7 @@
 
 
 class RegionCut(_Strict, tag="region_cut", tag_field="kind"):
-    """The regions reach neither each other's backends nor, but for the first, discovery."""
+    """Separates the regions: none reaches another's backends, and only the first reaches discovery."""
 
     at_s: float
     for_s: float
@@ -140,21 +160,25 @@
 
 
 class Experiment(_Strict):
+    """An experiment file."""
+
     name: str
     seed: int
-    duration_s: float  # measured, after all proxies are ready
-    settle_s: float = 3.0  # before that, with calls
+    duration_s: float  # of the measurement, which starts when the fleet has settled
+    settle_s: float = 3.0  # calls are already made, but not counted
     discovery: DiscoverySizes = msgspec.field(default_factory=DiscoverySizes)
     backends: BackendSizes = msgspec.field(default_factory=BackendSizes)
     proxies: ProxySizes = msgspec.field(default_factory=ProxySizes)
     callers: CallerSizes = msgspec.field(default_factory=CallerSizes)
-    settings: dict[str, Any] = {}  # laid over SETTINGS, in the form of a proxy's configuration
+    settings: dict[str, Any] = {}  # replace keys of DEFAULT_SETTINGS
     troubles: list[Fault] = []
 
     def raw_settings(self) -> dict[str, Any]:
+        """The settings of all proxies, in the form of a proxy's configuration. Raises ExperimentError."""
         return _merge_settings(DEFAULT_SETTINGS, self.settings, "settings")
 
     def parsed_settings(self) -> Settings:
+        """The settings as the decision module reads them. Raises ExperimentError."""
         raw = {**self.raw_settings(), "me": 0, "balancers": 1}
         try:
             return read_settings(flatten_settings(raw))
@@ -163,13 +187,16 @@
 
     @property
     def regions(self) -> list[list[str]]:
+        """The zones of each region."""
         return self.backends.regions or [self.backends.zones]
 
     def region_of(self, zone: str) -> int:
+        """The index of the region of this zone."""
         return next(number for number, zones in enumerate(self.regions) if zone in zones)
 
 
 def _merge_settings(base: dict[str, Any], changes: dict[str, Any], path: str) -> dict[str, Any]:
+    """`base` with the given changes, nested tables merged. Raises ExperimentError for an unknown key."""
     merged = copy.deepcopy(base)
     for key, value in changes.items():
         if key not in base:
@@ -180,12 +207,16 @@
 
 
 def _require(condition: bool, key: str, requirement: str) -> None:
+    """Raises ExperimentError, which names the key, unless the condition holds."""
     if not condition:
         raise ExperimentError(f"{key}: {requirement}")
 
 
 def check(experiment: Experiment) -> Experiment:
-    """What types can't say; a key that would have no effect is an error too."""
+    """Checks what the types don't cover; a key without effect is an error too.
+
+    Returns the experiment. Raises ExperimentError.
+    """
     e = experiment
     _require(0 < e.duration_s <= 600, "duration_s", "must be above 0 and at most 600")
     _require(0 <= e.settle_s <= 60, "settle_s", "must be from 0 to 60")
@@ -196,44 +227,67 @@
     _require(e.backends.service_ms >= 0, "backends.service_ms", "must not be below 0")
     _require(bool(e.backends.zones), "backends.zones", "must name a zone")
     backend_count = e.backends.count * e.backends.services
-    _require(backend_count <= 20_000, "backends.count", "more than 20,000 in all")
+    _require(backend_count <= 20_000, "backends.count", "must be at most 20,000 in all services together")
     zones_of_regions = [zone for region in e.regions for zone in region]
-    _require(sorted(zones_of_regions) == sorted(e.backends.zones), "backends.regions", "must name each zone once")
+    _require(
+        sorted(zones_of_regions) == sorted(e.backends.zones), "backends.regions", "must name each zone once"
+    )
     _require(0 <= e.proxies.real <= 64, "proxies.real", "must be from 0 to 64")
     _require(0 <= e.proxies.hollow <= 4000, "proxies.hollow", "must be from 0 to 4000")
-    _require(e.proxies.real + e.proxies.hollow > 0, "proxies", "there is none")
+    _require(e.proxies.real + e.proxies.hollow > 0, "proxies", "must be at least one, real or hollow")
     _require(min(e.proxies.per_process, e.backends.per_process) >= 1, "per_process", "must be at least 1")
-    _require(e.proxies.hollow > 0 or not e.proxies.timed, "proxies.timed", "unused: no proxy is hollow")
-    _require(e.backends.services > 1 or e.backends.fanout == 1, "backends.fanout", "unused: one service")
+    _require(
+        e.proxies.hollow > 0 or not e.proxies.timed, "proxies.timed", "has no effect without hollow proxies"
+    )
+    _require(
+        e.backends.services > 1 or e.backends.fanout == 1,
+        "backends.fanout",
+        "has no effect with a single service",
+    )
     _require(0 <= e.callers.rate_per_s <= 50_000, "callers.rate_per_s", "must be from 0 to 50,000")
     _require(1 <= e.callers.processes <= 32, "callers.processes", "must be from 1 to 32")
-    _require(e.callers.rate_per_s > 0 or not e.callers.mix, "callers.mix", "unused: no calls are made")
+    _require(e.callers.rate_per_s > 0 or not e.callers.mix, "callers.mix", "has no effect without calls")
     class_names = {cls.name for cls in e.parsed_settings().classes}
     for name, share in e.callers.mix.items():
         _require(name in class_names, f"callers.mix.{name}", "no such class in the settings")
         _require(share >= 0, f"callers.mix.{name}", "must not be below 0")
-    _require(not e.callers.mix or sum(e.callers.mix.values()) > 0, "callers.mix", "the shares add up to 0")
+    _require(not e.callers.mix or sum(e.callers.mix.values()) > 0, "callers.mix", "must have a share above 0")
     for number, fault in enumerate(e.troubles):
         _check_fault(e, fault, f"troubles[{number}]")
     return e
 
 
 def _check_fault(experiment: Experiment, fault: Fault, path: str) -> None:
+    """Checks one of the `troubles`; `path` names it in errors."""
     backend_count = experiment.backends.count * experiment.backends.services
-    _require(0 <= fault.at_s < experiment.duration_s, f"{path}.at_s", "unused: the run is over by then")
+    _require(
+        0 <= fault.at_s < experiment.duration_s, f"{path}.at_s", "has no effect: the run is over by then"
+    )
     if isinstance(fault, ZoneLoss):
         _require(fault.zone in experiment.backends.zones, f"{path}.zone", f"no such zone: {fault.zone}")
     if isinstance(fault, RegionCut):
-        _require(len(experiment.regions) > 1, f"{path}.kind", "unused: there is one region")
+        _require(len(experiment.regions) > 1, f"{path}.kind", "has no effect with a single region")
     if isinstance(fault, Restarts | Crash):
-        _require(1 <= fault.count <= backend_count, f"{path}.count", f"must be from 1 to {backend_count}, all backends")
+        _require(
+            1 <= fault.count <= backend_count,
+            f"{path}.count",
+            f"must be from 1 to {backend_count}, all backends",
+        )
     if isinstance(fault, Change):
-        _require(1 <= fault.entries <= backend_count, f"{path}.entries", f"must be from 1 to {backend_count}, all backends")
-        _require(fault.times >= 1 and fault.every_s > 0, f"{path}.times", "must be at least 1")
+        _require(
+            1 <= fault.entries <= backend_count,
+            f"{path}.entries",
+            f"must be from 1 to {backend_count}, all backends",
+        )
+        _require(
+            fault.times >= 1 and fault.every_s > 0,
+            f"{path}.times",
+            "must be at least 1, with every_s above 0",
+        )
 
 
 def parse(text: str | bytes) -> Experiment:
-    """Raises ExperimentError."""
+    """Reads and checks the TOML text of an experiment. Raises ExperimentError."""
     try:
         return check(msgspec.toml.decode(text, type=Experiment))
     except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -241,7 +295,7 @@
 
 
 def load(path: Path) -> Experiment:
-    """Raises ExperimentError, which names the file."""
+    """Reads and checks an experiment file. Raises ExperimentError, which names the file."""
     try:
         return parse(path.read_bytes())
     except (OSError, ExperimentError) as error:
--- a/granitepoint/fleet/fit.py
+++ b/granitepoint/fleet/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, by least squares."""
+"""Least-squares fits through measured points."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """y = base + slope x, with the root mean square of what it leaves, in units of y."""
+    """The line y = base + slope x; `residual` is the root mean square of the residuals, in units of y."""
 
     slope: float
     base: float
@@ -17,20 +17,21 @@
     points: list[tuple[float, float]]
 
     def at(self, x: float) -> float:
+        """The value of the line at x."""
         return self.base + self.slope * x
 
     @property
     def relative_residual(self) -> float:
-        """The residual as a share of the span of y."""
+        """The residual as a fraction of the range of y; 0 where y is constant."""
         ys = [y for _, y in self.points]
         span = max(ys) - min(ys)
         return self.residual / span if span else 0.0
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
-    """Raises ValueError for fewer than two different x."""
+    """Fits a line to (x, y) points. Raises ValueError for fewer than two different x."""
     if len({x for x, _ in points}) < 2:
-        raise ValueError("a line needs two sizes")
+        raise ValueError("a line needs points at two or more different x")
     xs = np.array([x for x, _ in points], dtype=float)
     ys = np.array([y for _, y in points], dtype=float)
     design = np.stack([np.ones_like(xs), xs], axis=1)
@@ -41,11 +42,14 @@
 
 
 def fit_plane(rows: Sequence[Sequence[float]], ys: Sequence[float]) -> tuple[list[float], float]:
-    """The weights of y = sum of weight x figure, and the residual's root mean square. Raises ValueError for
-    fewer rows than weights, or figures that can't be told apart."""
+    """Fits the weights of y = sum of weight x figure over the rows of figures.
+
+    Returns the weights and the root mean square of the residuals. Raises ValueError if there are fewer rows
+    than weights, or if the figures are linearly dependent.
+    """
     design, observed = np.array(rows, dtype=float), np.array(ys, dtype=float)
     weights, _, rank, _ = np.linalg.lstsq(design, observed, rcond=None)
     if len(rows) < design.shape[1] or rank < design.shape[1]:
-        raise ValueError("the rows don't tell the weights apart")
+        raise ValueError("the weights can't be determined: too few rows, or dependent figures")
     residual = float(np.sqrt(np.mean((observed - design @ weights) ** 2)))
     return [float(weight) for weight in weights], residual
--- a/granitepoint/fleet/fleet.py
+++ b/granitepoint/fleet/fleet.py
@@ -57,7 +57,7 @@
                     await self.process.stdin.drain()
                     while reply_line := await self.process.stdout.readline():
                         reply: Reply = msgspec.json.decode(reply_line, type=Reply)
-                        if reply.number == reply_number:  # an earlier number: its caller no longer waits
+                        if reply.number == reply_number:  # earlier replies are to commands that timed out
                             break
             except (ConnectionError, TimeoutError) as error:
                 raise FleetError(f"{self.name}: {type(error).__name__}") from None
--- a/granitepoint/fleet/plan.py
+++ b/granitepoint/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Who is where: names, zones and loopback addresses of all that an experiment starts."""
+"""The plan of a fleet: names, zones and loopback addresses of all backends and proxies of an experiment."""
 
 from __future__ import annotations
 
@@ -8,63 +8,74 @@
 
 from granitepoint.fleet.experiment import Experiment
 
-BACKEND_BLOCK, PROXY_BLOCK, REAL_PROXY_BLOCK, DISCOVERY_BLOCK = 20, 40, 60, 70  # second figure of the loopback addresses
+BACKEND_BLOCK, PROXY_BLOCK, REAL_PROXY_BLOCK, DISCOVERY_BLOCK = 20, 40, 60, 70  # second octet
 ADDRESSES_PER_BLOCK = 250 * 250
 
 
 class BackendPlan(msgspec.Struct):
+    """Name, place and addresses of one backend."""
+
     name: str
     service: int
     zone: str
-    cell: int
-    hosts: list[str]  # one for the callers of each region
+    cell: int  # index of a group of three backends of a zone
+    hosts: list[str]  # an address for the callers of each region
 
 
 class ProxyPlan(msgspec.Struct):
+    """Name, place, address and seed of one proxy."""
+
     name: str
-    service: int  # that it sends to
+    service: int  # index of the service that it sends to
     zone: str
     region: int
     host: str
-    me: int
-    balancers: int
+    me: int  # index among the proxies of its service
+    balancers: int  # number of proxies of its service
     seed: int
     real: bool = False
-    of_backend: str = ""  # whose only client it has; none: a proxy of the first tier
+    of_backend: str = ""  # the backend that calls through it; empty: a proxy of the first service
 
 
 class Plan(msgspec.Struct):
+    """All backends and proxies of an experiment."""
+
     backends: list[BackendPlan]
     proxies: list[ProxyPlan]
 
 
 def loopback_address(block: int, number: int) -> str:
-    """A loopback address of its own for each number."""
+    """A distinct loopback address for each number of a block."""
     number, last_octet = divmod(number, 250)
     block_offset, third_octet = divmod(number, 250)
     return f"127.{block + block_offset}.{third_octet}.{last_octet + 1}"
 
 
 def derive_seed(seed: int, *names: object) -> int:
-    """A seed for one part, the same in every run of the same experiment."""
+    """A seed for one part of an experiment, the same in every run."""
     return zlib.crc32(" ".join(map(str, (seed, *names))).encode())
 
 
 def make_plan(experiment: Experiment) -> Plan:
+    """Distributes backends and proxies over the zones; each backend of a chain gets a proxy of its own."""
     sizes, zones = experiment.backends, experiment.backends.zones
     backends = []
     region_count = len(experiment.regions)
     for number in range(sizes.count * sizes.services):
         service, index = divmod(number, sizes.count)
         zone = zones[index % len(zones)]
-        hosts = [loopback_address(BACKEND_BLOCK, number * region_count + region) for region in range(region_count)]
+        hosts = [
+            loopback_address(BACKEND_BLOCK, number * region_count + region) for region in range(region_count)
+        ]
         backends.append(BackendPlan(f"b{service}-{index}", service, zone, index // len(zones) // 3, hosts))
     proxies: list[ProxyPlan] = []
     first_tier_count = experiment.proxies.real + experiment.proxies.hollow
     for number in range(first_tier_count):
         zone = zones[number % len(zones)]
         real = number < experiment.proxies.real
-        proxies.append(_proxy(experiment, f"n0-{number}", 0, zone, number, first_tier_count, len(proxies), real=real))
+        proxies.append(
+            _proxy(experiment, f"n0-{number}", 0, zone, number, first_tier_count, len(proxies), real=real)
+        )
     for backend in backends:
         if backend.service + 1 < sizes.services:
             index = int(backend.name.rpartition("-")[2])
@@ -87,6 +98,7 @@
     real: bool = False,
     of_backend: str = "",
 ) -> ProxyPlan:
+    """The plan of one proxy; `number` is its index among all proxies of the experiment."""
     return ProxyPlan(
         name=name,
         service=service,
--- a/granitepoint/fleet/results.py
+++ b/granitepoint/fleet/results.py
@@ -1,4 +1,4 @@
-"""Results as JSON lines: one record a line, the machine and the experiment first, the end last."""
+"""Results of a run as JSON lines, one record a line; the first says what ran, the last how it ended."""
 
 from __future__ import annotations
 
@@ -10,11 +10,13 @@
 
 
 class Record(msgspec.Struct, tag_field="type", kw_only=True):
+    """Base of all records; `type` names the kind in the file."""
+
     pass
 
 
 class Begin(Record, tag="begin"):
-    """What ran, where and of which commit."""
+    """The first record: what ran, where and from which commit."""
 
     experiment: dict[str, Any]
     machine: dict[str, Any]
@@ -23,67 +25,68 @@
 
 
 class Process(Record, tag="process"):
-    """One process over the measured time."""
+    """The CPU time and memory of one process over the measured time."""
 
     role: str
     name: str
     pid: int
-    holds: int  # proxies, backends or desks in it
+    holds: int  # number of proxies, backends or discovery addresses in it
     span_s: float
     cpu_s: float
-    memory_begin: int  # bytes of its own
+    memory_begin: int  # bytes, without shared pages
     memory_end: int
 
     @property
     def cores(self) -> float:
+        """CPU time used for each second."""
         return self.cpu_s / self.span_s if self.span_s > 0 else 0.0
 
 
 class Calls(Record, tag="calls"):
-    """What became of the calls, over all callers."""
+    """The outcomes and latencies of the calls of all callers."""
 
     planned: int
-    tries: int
+    tries: int  # with retries of the callers
     outcomes: dict[str, int]
     by_zone: dict[str, int]
-    worst_second: dict[str, float]  # share served in time in it, and which it was
-    latency: dict[str, dict[str, float]]  # from the planned send, by class
-    added: dict[str, float]  # beyond the backend's own time, first tries
-    late_sends: dict[str, float]  # the callers' own lateness
-    front_looks: int  # at /healthz
+    worst_second: dict[str, float]  # the second with the smallest share served in time, and that share
+    latency: dict[str, dict[str, float]]  # by class, from the planned send
+    added: dict[str, float]  # latency beyond the backend's own time, of first tries
+    late_sends: dict[str, float]  # delay of the callers themselves beyond the planned send
+    front_looks: int  # health checks by the front
     by_second: list[dict[str, int]]
 
 
 class Stages(Record, tag="stages"):
-    """The time of a call in the hollow proxies, by stage."""
+    """How long calls spent in each stage of the hollow proxies."""
 
     proxies: int
     histograms: dict[str, dict[str, float]]
-    settling: int
+    settling: int  # calls that waited for a connection to settle after its last answer
 
 
 class Control(Record, tag="control"):
-    """Discovery, over the measured time and all callers."""
+    """The load of discovery over the measured time, all proxies together."""
 
-    desks: int
+    desks: int  # addresses, one for each proxy
     span_s: float
     calls: int
-    whole_lists: int
-    changes: int
-    empty: int
-    entries: int
+    whole_lists: int  # answers with the whole list
+    changes: int  # answers with changed entries
+    empty: int  # answers without entries
+    entries: int  # in all answers
     refused: int
     watches_begun: int
-    renewed: int
+    renewed: int  # calls that continued a watch
     bytes_in: int
     bytes_out: int
-    busy_s: float  # of its one server
+    busy_s: float  # simulated processing time
     most_bytes_of_one: int
     calls_by_100ms: dict[str, int]
 
 
 class Backends(Record, tag="backends"):
-    """What hollow backends saw, by service."""
+    """The counts of the hollow backends of one service."""
 
     service: int
     holds: int
@@ -91,14 +94,14 @@
 
 
 class Proxies(Record, tag="proxies"):
-    """Hollow proxies' own counts, over the measured time."""
+    """The counts of the hollow proxies over the measured time."""
 
     holds: int
     totals: dict[str, int]
 
 
 class Event(Record, tag="event"):
-    """Something that a trouble did, or that was seen of it. Times since the measured time began."""
+    """An injected fault or an observed effect. Times are in seconds since the measured time began."""
 
     at_s: float
     what: str
@@ -106,8 +109,10 @@
 
 
 class End(Record, tag="end"):
-    complete: bool  # False: it was stopped, and this is what had been measured
-    why: str = ""
+    """The last record."""
+
+    complete: bool  # False: the run was stopped, and the records have what was measured until then
+    why: str = ""  # reason of an incomplete run
 
 
 RecordType = TypeVar("RecordType", bound=Record)
@@ -115,27 +120,30 @@
 
 
 class ResultsError(Exception):
-    """The file holds something else; the message names the line."""
+    """The file or the records are not as expected; the message names the line or the kind."""
 
 
 class Writer:
-    """Appends a record at once, so that what was measured is kept whatever comes."""
+    """Writes each record to the file at once, so that an aborted run keeps what was measured."""
 
     def __init__(self, path: Path) -> None:
+        """Creates the file, and its folder if necessary."""
         path.parent.mkdir(parents=True, exist_ok=True)
         self.path = path
         self._file: IO[bytes] = path.open("wb")
 
     def write(self, record: Record) -> None:
+        """Appends one record."""
         self._file.write(msgspec.json.encode(record) + b"\n")
         self._file.flush()
 
     def close(self) -> None:
+        """Closes the file."""
         self._file.close()
 
 
 def read(path: Path) -> list[AnyRecord]:
-    """Raises ResultsError."""
+    """All records of a file. Raises ResultsError, which names the line."""
     decoder: msgspec.json.Decoder[AnyRecord] = msgspec.json.Decoder(AnyRecord)
     records: list[AnyRecord] = []
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
@@ -147,7 +155,7 @@
 
 
 def single_record(records: Sequence[Record], record_type: type[RecordType]) -> RecordType:
-    """The one record of this kind. Raises ResultsError."""
+    """The only record of this type. Raises ResultsError if there is none or more than one."""
     found = [record for record in records if isinstance(record, record_type)]
     if len(found) != 1:
         raise ResultsError(f"{len(found)} records of kind {record_type.__name__.lower()}, not one")
--- a/granitepoint/fleet/run.py
+++ b/granitepoint/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: starts the fleet, lets it settle, measures it under faults, collects the results."""
+"""One run of an experiment: starts the fleet, lets it settle, measures it under faults, collects results."""
 
 from __future__ import annotations
 
@@ -144,7 +144,7 @@
         self._write_backends(fleet, await fleet.send_to_role("backends", "figures"))
         in_force = {name: times for reply in proxies for name, times in reply["in_force"].items()}
         starts = {name: times for reply in proxies for name, times in reply["starts"].items()}
-        self._write_landmarks(fleet, written_at, in_force, starts)
+        self._write_propagation_times(fleet, written_at, in_force, starts)
         timeout = max(cls.deadline for cls in self.experiment.parsed_settings().classes) + FINAL_CALLS_MARGIN
         callers = await fleet.send_to_role("callers", "figures", timeout=timeout, now=without_waiting)
         if self.experiment.callers.rate_per_s > 0:
@@ -202,14 +202,14 @@
             backend_count = sum(plan.service == service for plan in fleet.plan.backends)
             self.writer.write(results.Backends(service=service, holds=backend_count, counts=dict(counts)))
 
-    def _write_landmarks(
+    def _write_propagation_times(
         self, fleet: Fleet, written_at: dict[str, Any], in_force_at: dict[str, Any], starts: dict[str, Any]
     ) -> None:
         """Writes how long changes of the server lists took to reach the proxies, for each kind of change.
 
         Measured are all versions of that kind and, for each version, all proxies of the zones that it was to
-        reach. `written_at` and `in_force` map each proxy to its versions and their monotonic times. Hollow
-        proxies report when a version came into force; for real ones the time counts at which discovery wrote it.
+        reach. `written_at` and `in_force_at` map each proxy to its versions and their monotonic times. Hollow
+        proxies report when a version came into force; for real ones the time is that of discovery's answer.
         """
         written_by_proxy = {
             name: {int(version): at for version, at in times.items()} for name, times in written_at.items()
--- a/granitepoint/fleet/slopes.py
+++ b/granitepoint/fleet/slopes.py
@@ -1,4 +1,4 @@
-"""The scale series: each figure over four sizes or more, with a straight line through the points."""
+"""The scale series: measures figures at four or more sizes, and fits a straight line to each."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     CallerSizes,
     Change,
     Experiment,
+    Fault,
     ProxySizes,
     Restarts,
-    Fault,
 )
 from granitepoint.fleet.fit import fit_line, fit_plane
 from granitepoint.fleet.measure import commit, machine
@@ -31,49 +31,52 @@
 
 
 class Slope(msgspec.Struct, kw_only=True):
-    """One figure of one series."""
+    """The line of one figure of one series: figure = base + slope x."""
 
     series: str
     figure: str
     unit: str
-    per: str  # what x counts
+    per: str  # unit of x
     slope: float
     base: float
-    residual: float  # root mean square, in units of y
+    residual: float  # root mean square, in units of the figure
     points: list[tuple[float, float]]
     commit: str
     load_average: object
 
 
 class Series(msgspec.Struct, kw_only=True):
-    """Experiments of growing size, and the figures that are read from each."""
+    """Experiments of growing size, and the figures that are read from the results of each."""
 
     per: str
     sizes: list[tuple[float, Experiment]]
-    figures: dict[str, tuple[str, Callable[[Records], float]]]  # name: unit, reader
+    figures: dict[str, tuple[str, Callable[[Records], float]]]  # name: unit, function that reads it
 
 
-# readers
+# functions that read a figure from the records of a run
 def _processes_of_role(records: Records, role: str) -> list[results.Process]:
     return [record for record in records if isinstance(record, results.Process) and record.role == role]
 
 
 def cores_per_item(role: str) -> Callable[[Records], float]:
-    """Cores spent for each proxy (or other thing) that the role's processes hold."""
+    """Reads the cores used for each proxy, or other member, that processes of the role hold."""
 
     def read(records: Records) -> float:
         processes = _processes_of_role(records, role)
-        return sum(process.cores for process in processes) / max(1, sum(process.holds for process in processes))
+        return sum(process.cores for process in processes) / max(
+            1, sum(process.holds for process in processes)
+        )
 
     return read
 
 
 def total_cores(role: str) -> Callable[[Records], float]:
+    """Reads the cores used by all processes of the role."""
     return lambda records: sum(process.cores for process in _processes_of_role(records, role))
 
 
 def memory_per_process(role: str) -> Callable[[Records], float]:
-    """Bytes for each of its processes."""
+    """Reads the mean memory of a process of the role, in bytes."""
 
     def read(records: Records) -> float:
         processes = _processes_of_role(records, role)
@@ -83,19 +86,22 @@
 
 
 def from_control(read: Callable[[results.Control], float]) -> Callable[[Records], float]:
+    """Reads a figure from the record of discovery."""
     return lambda records: read(results.single_record(records, results.Control))
 
 
 def from_calls(read: Callable[[results.Calls], float]) -> Callable[[Records], float]:
+    """Reads a figure from the record of the calls."""
     return lambda records: read(results.single_record(records, results.Calls))
 
 
 def stage_latency(name: str, percentile: str) -> Callable[[Records], float]:
+    """Reads a percentile of a stage in the hollow proxies, in ms; `percentile` is its key, as "p99_ms"."""
     return lambda records: results.single_record(records, results.Stages).histograms[name][percentile]
 
 
 def max_propagation_time(records: Records) -> float:
-    """Seconds until the last proxy had a change, at the worst change."""
+    """Seconds until a change was in force at the last proxy, for the slowest change."""
     propagation_times = [
         float(record.figures.get("last_worst_s", 0.0))
         for record in records
@@ -105,7 +111,7 @@
 
 
 def started_per_call(at_first_service: bool = False) -> Callable[[Records], float]:
-    """Requests begun at the deepest service, or at the first, for each call planned."""
+    """Reads the requests started at the last service of a chain, or at the first, for each planned call."""
 
     def read(records: Records) -> float:
         backend_records = [record for record in records if isinstance(record, results.Backends)]
@@ -116,15 +122,19 @@
 
 
 def served_share(calls: results.Calls) -> float:
+    """The share of the planned calls that were served, in time or late."""
     return (calls.outcomes.get("served", 0) + calls.outcomes.get("late", 0)) / max(1, calls.planned)
 
 
 def backend_count_per_s(counter: str) -> Callable[[Records], float]:
-    """A count of the backends, a second."""
+    """Reads a count of all backends, for each second."""
 
     def read(records: Records) -> float:
         span = results.single_record(records, results.Control).span_s
-        return sum(record.counts.get(counter, 0) for record in records if isinstance(record, results.Backends)) / span
+        return (
+            sum(record.counts.get(counter, 0) for record in records if isinstance(record, results.Backends))
+            / span
+        )
 
     return read
 
@@ -156,8 +166,12 @@
 
 
 def _listed_series() -> Series:
+    """Idle real proxies with a growing number of listed backends."""
     sizes = [
-        (float(count), _experiment(f"listed-{count}", backends=BackendSizes(count=count), proxies=ProxySizes(real=4)))
+        (
+            float(count),
+            _experiment(f"listed-{count}", backends=BackendSizes(count=count), proxies=ProxySizes(real=4)),
+        )
         for count in (55, 110, 220, 440, 880)
     ]
     return Series(
@@ -172,6 +186,7 @@
 
 
 def _rate_series() -> Series:
+    """One real proxy at a growing rate of calls."""
     sizes = [
         (
             float(rate),
@@ -183,7 +198,10 @@
         for rate in (10, 40, 72, 150)
     ]  # fmt: skip
     added_latency = {
-        f"added by a real proxy, {percentile}": ("ms", from_calls(lambda c, key=f"p{percentile}_ms": c.added[key]))  # type: ignore[misc]
+        f"added by a real proxy, {percentile}": (
+            "ms",
+            from_calls(lambda c, key=f"p{percentile}_ms": c.added[key]),  # type: ignore[misc]
+        )
         for percentile in ("50", "99", "99.9")
     }
     return Series(
@@ -202,6 +220,7 @@
 
 
 def _stages_series() -> Series:
+    """The stages of calls in one hollow proxy, at a growing rate of calls."""
     sizes = [
         (
             float(rate),
@@ -225,6 +244,7 @@
 
 
 def _watchers_series() -> Series:
+    """Discovery with a growing number of proxies, at one change a second."""
     sizes = [
         (
             float(count),
@@ -251,6 +271,7 @@
 
 
 def _changes_series() -> Series:
+    """A growing rate of changes, each of one entry."""
     sizes = [
         (
             rate,
@@ -274,6 +295,7 @@
 
 
 def _entries_series() -> Series:
+    """A growing number of entries in each change, at one change a second."""
     sizes = [
         (
             float(count),
@@ -295,6 +317,7 @@
 
 
 def _restarts_series() -> Series:
+    """A growing rate of restarts of backends together with their proxies."""
     sizes = [
         (
             count / 12.0,
@@ -320,8 +343,13 @@
 
 
 def _depth_series(deadline_s: float = 1.0) -> Series:
-    """One answer in a hundred is an error, so that retries at each depth show what they multiply."""
-    proxies = ProxySizes(real=1, hollow=3, per_process=14)  # few: a loop's lag is taken off each budget
+    """A growing number of services in a chain.
+
+    One answer in a hundred of each service is an error, to show by how much retries at each depth multiply.
+    """
+    proxies = ProxySizes(
+        real=1, hollow=3, per_process=14
+    )  # few to a process: a proxy deducts the lag of its event loop from each budget
     callers = CallerSizes(rate_per_s=20.0, mix={"read": 1.0}, retries=2)
     classes = [{**DEFAULT_CLASSES[0], "deadline": deadline_s, "objective": 0.3 * deadline_s}]
     sizes = []
@@ -345,8 +373,9 @@
 
 
 def _probes_series() -> Series:
+    """One real proxy at a growing rate of calls, with probes at the usual and at a low price."""
     sizes = []
-    for price in (0.06, 0.001):  # the cheap one makes the module ask a call's candidates first
+    for price in (0.06, 0.001):  # at the low price, servers are probed before a call is sent to one
         for rate in (10, 20, 40, 72):
             sizes.append(
                 (
@@ -364,7 +393,7 @@
 
 
 SERIES: dict[str, Callable[[], Series] | None] = {
-    "state": None,  # in this process, without a fleet
+    "state": None,  # measured in this process, without a fleet
     "listed": _listed_series,
     "rate": _rate_series,
     "stages": _stages_series,
@@ -374,12 +403,12 @@
     "restarts": _restarts_series,
     "probes": _probes_series,
     "depth": _depth_series,
-    "deep": partial(_depth_series, 5.0),  # time enough
+    "deep": partial(_depth_series, 5.0),  # a deadline that suffices for every depth
 }
 
 
 def run_series(name: str, out: Path, report_progress: ProgressCallback) -> bool:
-    """Runs one series and writes its lines; whether it was complete. Raises FleetError."""
+    """Runs one series and writes its lines; returns whether it was complete. Raises FleetError."""
     make_series = SERIES[name]
     out.mkdir(parents=True, exist_ok=True)
     machine_info = machine()
@@ -418,11 +447,16 @@
 
 
 def _probe_cost_lines(name: str, runs: Sequence[tuple[float, Records]], load_average: object) -> list[Slope]:
-    """The time of an idle second, of a call and of a probe, told apart over runs with few and many probes."""
+    """The CPU cost of a call and of a probe, as two lines.
+
+    They are separated, and from the cost of an idle proxy, by a fit over runs with few and with many probes.
+    """
     rows, cores_used = [], []
     for rate, records in runs:
         (process,) = _processes_of_role(records, "proxy")
-        probes = sum(record.counts.get("probes", 0) for record in records if isinstance(record, results.Backends))
+        probes = sum(
+            record.counts.get("probes", 0) for record in records if isinstance(record, results.Backends)
+        )
         rows.append((1.0, rate, probes / process.span_s))
         cores_used.append(process.cores)
     weights, residual = fit_plane(rows, cores_used)
@@ -445,6 +479,7 @@
 
 
 def read_lines(out: Path) -> list[Slope]:
+    """All lines that were written to this folder, in the order of SERIES."""
     decoder: msgspec.json.Decoder[Slope] = msgspec.json.Decoder(Slope)
     paths = [out / f"lines-{name}.jsonl" for name in SERIES]
     return [
@@ -453,6 +488,7 @@
 
 
 def print_lines(out: Path, console: Console) -> None:
+    """Prints a table of all lines in this folder."""
     table = Table("series", "figure", "base", "slope", "unit for each", "residual")
     for line in read_lines(out):
         table.add_row(
--- a/granitepoint/fleet/summary.py
+++ b/granitepoint/fleet/summary.py
@@ -1,4 +1,4 @@
-"""A run's results in a few lines."""
+"""Prints the results of a run in a few lines."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 
 def print_summary(path: Path, console: Console) -> None:
+    """Prints the results in `path`. Raises ResultsError."""
     records = results.read(path)
     begin = results.single_record(records, results.Begin)
     end = results.single_record(records, results.End)
@@ -29,7 +30,11 @@
         cores = sum(process.cores for process in processes)
         memory = sum(process.memory_end for process in processes) / len(processes) / 1e6
         table.add_row(
-            role, f"{len(processes)}", f"{sum(process.holds for process in processes)}", f"{cores:.3f}", f"{memory:.1f}"
+            role,
+            f"{len(processes)}",
+            f"{sum(process.holds for process in processes)}",
+            f"{cores:.3f}",
+            f"{memory:.1f}",
         )
     if by_role:
         console.print(table)
@@ -61,5 +66,6 @@
 
 
 def _format_figures(figures: dict[str, object] | dict[str, int] | dict[str, float]) -> str:
+    """The figures as one line of names and values."""
     return ", ".join(f"{name} {value:g}" if isinstance(value, float) else f"{name} {value}"
                      for name, value in figures.items())  # fmt: skip
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -436,8 +436,8 @@
     async def do_figures(self, command: Command) -> dict[str, Any]:
         """Returns the summed counts, and the stage times of calls as packed histograms.
 
-        `in_force` and `starts` have for each proxy the monotonic times at which versions came into force and at
-        which it was started; `serving` has the size of its server pool.
+        `in_force` and `starts` have for each proxy the monotonic times at which versions came into force and
+        at which it was started; `serving` has the size of its server pool.
         """
         totals = self._totals()
         totals.subtract(self.totals_at_mark)
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -1,4 +1,4 @@
-"""Experiment files, results and the straight lines."""
+"""Experiment files, plans, result files and least-squares fits of the fleet."""
 
 from __future__ import annotations
 
@@ -19,62 +19,68 @@
 from granitepoint.fleet.troubles import Landmark, in_force_after
 
 ROOT = Path(__file__).parent.parent
-FIRST = 'name = "x"\nseed = 1\nduration_s = 5.0\n'
+REQUIRED = 'name = "x"\nseed = 1\nduration_s = 5.0\n'
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "experiments").rglob("*.toml")), ids=lambda path: path.stem)
 def test_every_committed_experiment_is_read(path: Path) -> None:
-    """Those in days/ are the emulator's, those in compare/ cross variants with these."""
+    """Files in days/ are for the emulator, those in compare/ combine days with variants."""
     if path.parent.name == "compare":
-        compared = plan.load(path)
-        assert compared.name == path.stem and plan.cells(compared, path.parent)
+        comparison = plan.load(path)
+        assert comparison.name == path.stem and plan.cells(comparison, path.parent)
     else:
-        read = emulator_days.load(path) if path.parent.name == "days" else load(path)
-        assert read.name == path.stem
+        loaded = emulator_days.load(path) if path.parent.name == "days" else load(path)
+        assert loaded.name == path.stem
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
         ("seed = 1\n", "name"),
-        (FIRST + "colour = 1\n", "colour"),
-        (FIRST + "[backends]\ncuont = 3\n", "cuont"),
-        (FIRST + "[backends]\ncount = 'many'\n", "backends.count"),
-        (FIRST + "[backends]\ncount = 0\n", "backends.count"),
-        (FIRST + "[backends]\nfanout = 2\n", "backends.fanout"),  # unused
-        (FIRST + "[backends]\nregions = [['a']]\n", "backends.regions"),
-        (FIRST + "[proxies]\ntimed = true\n", "proxies.timed"),  # unused
-        (FIRST + "[proxies]\nreal = 0\n", "proxies"),
-        (FIRST + "[callers]\nmix = { raed = 1.0 }\n", "callers.mix.raed"),
-        (FIRST + "[callers]\nrate_per_s = 0\nmix = { read = 1.0 }\n", "callers.mix"),  # unused
-        (FIRST + "[settings]\nquantom = 0.1\n", "settings.quantom"),
-        (FIRST + "[settings.contract]\nclod = 1.0\n", "settings.contract.clod"),
-        (FIRST + "[settings]\nquantum = -1.0\n", "quantum"),
-        (FIRST + "[[troubles]]\nkind = 'fire'\nat_s = 1.0\n", "fire"),
-        (FIRST + "[[troubles]]\nkind = 'change'\nat_s = 1.0\nfor_s = 2.0\n", "for_s"),  # unused
-        (FIRST + "[[troubles]]\nkind = 'change'\nat_s = 9.0\n", "troubles[0].at_s"),
+        (REQUIRED + "colour = 1\n", "colour"),
+        (REQUIRED + "[backends]\ncuont = 3\n", "cuont"),
+        (REQUIRED + "[backends]\ncount = 'many'\n", "backends.count"),
+        (REQUIRED + "[backends]\ncount = 0\n", "backends.count"),
+        (REQUIRED + "[backends]\nfanout = 2\n", "backends.fanout"),  # has no effect
+        (REQUIRED + "[backends]\nregions = [['a']]\n", "backends.regions"),
+        (REQUIRED + "[proxies]\ntimed = true\n", "proxies.timed"),  # has no effect
+        (REQUIRED + "[proxies]\nreal = 0\n", "proxies"),
+        (REQUIRED + "[callers]\nmix = { raed = 1.0 }\n", "callers.mix.raed"),
+        (REQUIRED + "[callers]\nrate_per_s = 0\nmix = { read = 1.0 }\n", "callers.mix"),  # has no effect
+        (REQUIRED + "[settings]\nquantom = 0.1\n", "settings.quantom"),
+        (REQUIRED + "[settings.contract]\nclod = 1.0\n", "settings.contract.clod"),
+        (REQUIRED + "[settings]\nquantum = -1.0\n", "quantum"),
+        (REQUIRED + "[[troubles]]\nkind = 'fire'\nat_s = 1.0\n", "fire"),
         (
-            FIRST + "[[troubles]]\nkind = 'zone_loss'\nat_s = 1.0\nfor_s = 2.0\nzone = 'q'\n",
+            REQUIRED + "[[troubles]]\nkind = 'change'\nat_s = 1.0\nfor_s = 2.0\n",
+            "for_s",  # has no effect
+        ),
+        (REQUIRED + "[[troubles]]\nkind = 'change'\nat_s = 9.0\n", "troubles[0].at_s"),
+        (
+            REQUIRED + "[[troubles]]\nkind = 'zone_loss'\nat_s = 1.0\nfor_s = 2.0\nzone = 'q'\n",
             "troubles[0].zone",
         ),
-        (FIRST + "[[troubles]]\nkind = 'region_cut'\nat_s = 1.0\nfor_s = 2.0\n", "troubles[0].kind"),
-        (FIRST + "[[troubles]]\nkind = 'crash'\nat_s = 1.0\nfor_s = 2.0\ncount = 99\n", "troubles[0].count"),
+        (REQUIRED + "[[troubles]]\nkind = 'region_cut'\nat_s = 1.0\nfor_s = 2.0\n", "troubles[0].kind"),
+        (
+            REQUIRED + "[[troubles]]\nkind = 'crash'\nat_s = 1.0\nfor_s = 2.0\ncount = 99\n",
+            "troubles[0].count",
+        ),
         ("name = ", "Invalid value"),
     ],
 )
-def test_a_bad_file_is_one_clear_error_that_names_the_key(
-    text: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_an_invalid_file_gives_a_one_line_error_that_names_the_key(
+    text: str, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text)
     assert app(["run", str(path), "--out", str(tmp_path)], result_action="return_value") == 2
-    said = capsys.readouterr().err
-    assert named in said and str(path) in said and said.count("\n") == 1
+    stderr = capsys.readouterr().err
+    assert expected in stderr and str(path) in stderr and stderr.count("\n") == 1
     with pytest.raises(ExperimentError):
         parse(text)
 
 
-def test_a_file_that_is_not_there_or_a_series_that_is_not_known_is_an_error(
+def test_a_missing_file_or_an_unknown_series_is_an_error(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert app(["run", "nowhere.toml", "--out", str(tmp_path)], result_action="return_value") == 2
@@ -84,17 +90,19 @@
 
 def test_a_plan_gives_each_its_own_loopback_address_and_each_backend_of_a_chain_its_proxy() -> None:
     text = '[backends]\ncount = 300\nservices = 3\nzones = ["a", "b", "c"]\nregions = [["a", "b"], ["c"]]\n'
-    plan = make_plan(parse(FIRST + text + "[proxies]\nreal = 2\nhollow = 5\n"))
+    plan = make_plan(parse(REQUIRED + text + "[proxies]\nreal = 2\nhollow = 5\n"))
     hosts = [host for backend in plan.backends for host in backend.hosts]
     hosts += [proxy.host for proxy in plan.proxies]
     assert len(set(hosts)) == len(hosts) == 2 * 900 + 7 + 600
     assert all(host.startswith("127.") and max(map(int, host.split("."))) < 256 for host in hosts)
-    owners = [proxy for proxy in plan.proxies if proxy.of_backend]
-    assert {proxy.service for proxy in owners} == {1, 2} and len({p.of_backend for p in owners}) == 600
+    backend_proxies = [proxy for proxy in plan.proxies if proxy.of_backend]
+    assert {proxy.service for proxy in backend_proxies} == {1, 2} and len(
+        {proxy.of_backend for proxy in backend_proxies}
+    ) == 600
     assert {proxy.region for proxy in plan.proxies if proxy.zone == "c"} == {1}
 
 
-def test_results_come_back_as_written_and_a_spoilt_line_is_named(tmp_path: Path) -> None:
+def test_results_are_read_as_written_and_a_malformed_line_is_named(tmp_path: Path) -> None:
     path = tmp_path / "deep" / "r.jsonl"
     writer = results.Writer(path)
     records: list[results.AnyRecord] = [
@@ -106,7 +114,7 @@
     ]
     for record in records:
         writer.write(record)
-    assert results.read(path) == records  # also before it is closed
+    assert results.read(path) == records  # also before the file is closed
     writer.close()
     assert results.single_record(records, results.Process).cores == 0.25
     with pytest.raises(results.ResultsError, match="0 records of kind calls"):
@@ -130,18 +138,18 @@
     line = fit_line([(110, 12.0), (220, 23.0), (440, 45.0), (880, 89.0)])
     assert [line.slope, line.base] == pytest.approx([0.1, 1.0])
     assert line.residual == pytest.approx(0.0, abs=1e-9) and line.at(1000) == pytest.approx(101.0)
-    bent = fit_line([(0, 0.0), (1, 1.0), (2, 0.0), (3, 1.0)])
-    assert bent.slope == pytest.approx(0.2) and bent.residual == pytest.approx(0.2**0.5)
-    assert bent.relative_residual == pytest.approx(0.2**0.5)
-    with pytest.raises(ValueError, match="two sizes"):
+    zigzag = fit_line([(0, 0.0), (1, 1.0), (2, 0.0), (3, 1.0)])
+    assert zigzag.slope == pytest.approx(0.2) and zigzag.residual == pytest.approx(0.2**0.5)
+    assert zigzag.relative_residual == pytest.approx(0.2**0.5)
+    with pytest.raises(ValueError, match="different x"):
         fit_line([(1, 1.0), (1, 2.0)])
 
 
-def test_the_costs_of_calls_and_probes_are_told_apart() -> None:
+def test_the_costs_of_calls_and_probes_are_separated() -> None:
     rows = [(1.0, float(rate), probes) for rate, probes in ((10, 0.5), (10, 20.0), (40, 2.0), (40, 90.0))]
     weights, residual = fit_plane(rows, [0.01 + 0.001 * rate + 0.0002 * probes for _, rate, probes in rows])
     assert weights == pytest.approx([0.01, 0.001, 0.0002]) and residual == pytest.approx(0.0, abs=1e-9)
-    with pytest.raises(ValueError, match="apart"):
+    with pytest.raises(ValueError, match="can't be determined"):
         fit_plane([(1.0, 2.0), (2.0, 4.0)], [1.0, 2.0])
 
 
@@ -159,13 +167,20 @@
 
 
 def test_a_series_is_run_read_and_fitted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def fake(experiment: Experiment, path: Path) -> bool:
+    def fake_run(experiment: Experiment, path: Path) -> bool:
         writer = results.Writer(path)
         rate = experiment.callers.rate_per_s
-        spent = 0.1 + rate / 100
+        cpu_seconds = 0.1 + rate / 100
         writer.write(
             results.Process(
-                role="proxy", name="n", pid=1, holds=1, span_s=10.0, cpu_s=spent, memory_begin=1, memory_end=2
+                role="proxy",
+                name="n",
+                pid=1,
+                holds=1,
+                span_s=10.0,
+                cpu_s=cpu_seconds,
+                memory_begin=1,
+                memory_end=2,
             )
         )
         figures = {"p50_ms": 1.0, "p99_ms": 2.0, "p99.9_ms": 3.0}
@@ -180,7 +195,7 @@
         writer.close()
         return True
 
-    monkeypatch.setattr(slopes, "run", fake)
+    monkeypatch.setattr(slopes, "run", fake_run)
     assert slopes.run_series("rate", tmp_path, lambda text, share: None)
     lines = {line.figure: line for line in slopes.read_lines(tmp_path)}
     assert lines["cores of a real proxy"].slope == pytest.approx(0.001)
@@ -199,7 +214,7 @@
 
 
 def test_a_change_is_in_force_with_the_first_list_of_its_version_or_a_later_one() -> None:
-    mark = Landmark("change", 0, version=5, since=100.0, zones=frozenset("a"))
-    assert in_force_after(mark, {4: 99.0, 6: 100.5, 7: 101.0}) == 0.5
-    assert in_force_after(mark, {5: 99.9}) == 0.0 and in_force_after(mark, {4: 101.0}) is None
-    assert in_force_after(mark, {5: 103.0}, [90.0, 102.0, 104.0]) == 1.0  # it was down until 102
+    landmark = Landmark("change", 0, version=5, since=100.0, zones=frozenset("a"))
+    assert in_force_after(landmark, {4: 99.0, 6: 100.5, 7: 101.0}) == 0.5
+    assert in_force_after(landmark, {5: 99.9}) == 0.0 and in_force_after(landmark, {4: 101.0}) is None
+    assert in_force_after(landmark, {5: 103.0}, [90.0, 102.0, 104.0]) == 1.0  # the proxy was down until 102
--- a/tests/test_fleet_run.py
+++ b/tests/test_fleet_run.py
@@ -1,4 +1,4 @@
-"""A small fleet: real and hollow proxies, troubles, an interrupt. The run's own events drive it."""
+"""Runs of a small fleet with real and hollow proxies, faults and an interrupt."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from granitepoint.fleet.experiment import parse
 from granitepoint.fleet.run import run
 
-SMALL = """
+SMALL_FLEET = """
 name = "small"
 seed = 3
 duration_s = 2.5
@@ -38,7 +38,7 @@
 rate_per_s = 60.0
 retries = 2
 """
-TROUBLES = """
+FAULTS = """
 [[troubles]]
 kind = "change"
 at_s = 0.1
@@ -64,56 +64,63 @@
 """
 
 
-def alive(records: list[results.AnyRecord]) -> list[int]:
-    return [one.pid for one in records if isinstance(one, results.Process) and psutil.pid_exists(one.pid)]
+def running_pids(records: list[results.AnyRecord]) -> list[int]:
+    return [
+        record.pid
+        for record in records
+        if isinstance(record, results.Process) and psutil.pid_exists(record.pid)
+    ]
 
 
-def test_a_small_fleet_serves_through_troubles_and_ends_what_it_started(tmp_path: Path) -> None:
+def test_a_small_fleet_serves_through_faults_and_ends_its_processes(tmp_path: Path) -> None:
     path = tmp_path / "small.jsonl"
-    assert run(parse(SMALL + TROUBLES), path)
+    assert run(parse(SMALL_FLEET + FAULTS), path)
     records = results.read(path)
     begin, end = records[0], records[-1]
     assert isinstance(begin, results.Begin) and begin.experiment["seed"] == 3
     assert begin.machine["cores"] == os.cpu_count() and begin.commit
     assert isinstance(end, results.End) and end.complete
-    processes = [one for one in records if isinstance(one, results.Process)]
-    assert {one.role for one in processes} == {"backends", "discovery", "proxies", "callers", "proxy"}
-    assert all(one.memory_end > 1_000_000 and one.span_s >= 2.4 for one in processes)
+    processes = [record for record in records if isinstance(record, results.Process)]
+    assert {record.role for record in processes} == {"backends", "discovery", "proxies", "callers", "proxy"}
+    assert all(record.memory_end > 1_000_000 and record.span_s >= 2.4 for record in processes)
     calls = results.single_record(records, results.Calls)
     assert calls.planned == sum(calls.outcomes.values()) > 60
     assert calls.outcomes["served"] > 0 and set(calls.latency) == {"read", "order", "pay"}
-    deep = [one for one in records if isinstance(one, results.Backends)]
-    assert [one.service for one in deep] == [0, 1] and all(one.counts["served"] > 0 for one in deep)
+    backend_records = [record for record in records if isinstance(record, results.Backends)]
+    assert [record.service for record in backend_records] == [0, 1] and all(
+        record.counts["served"] > 0 for record in backend_records
+    )
     stages = results.single_record(records, results.Stages)
     assert stages.proxies == 9 and stages.histograms["whole"]["count"] > 0
     assert stages.histograms["prove"]["p50_ms"] >= 0.9  # the last byte is held back for 1 ms
-    told = {one.what: one.figures for one in records if isinstance(one, results.Event)}
-    change = told["in force: change"]  # one entry of each service
+    events = {record.what: record.figures for record in records if isinstance(record, results.Event)}
+    change = events["in force: change"]  # one entry of each of the two services
     assert change["versions"] == 2 and change["told"] + change["never"] == 4 + 6 and change["told"] > 0
-    assert {"in force: restart: back", "in force: outage: change", "the regions are healed"} <= set(told)
+    assert {"in force: restart: back", "in force: outage: change", "the regions are healed"} <= set(events)
     assert results.single_record(records, results.Control).desks == 10
-    assert not alive(records)
+    assert not running_pids(records)
 
 
-def test_an_interrupt_ends_all_and_keeps_what_was_measured(tmp_path: Path) -> None:
+def test_an_interrupt_ends_all_processes_and_keeps_what_was_measured(tmp_path: Path) -> None:
     path = tmp_path / "small.jsonl"
 
-    def report(text: str, share: float) -> None:
+    def interrupt_when_measuring(text: str, share: float) -> None:
         if text == "measuring":
             os.kill(os.getpid(), signal.SIGINT)
 
-    text = SMALL.replace("duration_s = 2.5", "duration_s = 300.0")
-    before = signal.signal(signal.SIGINT, signal.default_int_handler)  # ignored where a shell began the tests
+    text = SMALL_FLEET.replace("duration_s = 2.5", "duration_s = 300.0")
+    # SIGINT is ignored where a shell has started the tests in the background.
+    previous_handler = signal.signal(signal.SIGINT, signal.default_int_handler)
     try:
-        assert not run(parse(text), path, report)
+        assert not run(parse(text), path, interrupt_when_measuring)
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
     records = results.read(path)
     end = results.single_record(records, results.End)
     assert not end.complete and end.why == "interrupted"
     assert results.single_record(records, results.Control).desks == 10
-    assert len([one for one in records if isinstance(one, results.Process)]) >= 5
-    assert not alive(records)
+    assert len([record for record in records if isinstance(record, results.Process)]) >= 5
+    assert not running_pids(records)
 
 
 def test_the_command_writes_results_and_prints_them(
@@ -124,14 +131,16 @@
         'name = "tiny"\nseed = 1\nduration_s = 0.3\nsettle_s = 0.0\n[callers]\nrate_per_s = 30.0\n'
     )
     assert app(["run", str(source), "--out", str(tmp_path)], result_action="return_value") == 0
-    said = capsys.readouterr().out
-    assert "tiny: complete" in said and "served" in said and "added by the proxy" in said
+    output = capsys.readouterr().out
+    assert "tiny: complete" in output and "served" in output and "added by the proxy" in output
     assert results.single_record(results.read(tmp_path / "tiny.jsonl"), results.End).complete
 
 
-def test_the_proxy_and_the_simulators_adapter_import_nothing_of_it() -> None:
+def test_the_proxy_and_the_benchlink_import_nothing_of_the_fleet() -> None:
     code = "import sys, granitepoint.__main__, granitepoint.benchlink; print(*sorted(sys.modules))"
-    loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    mine = ("granitepoint.fleet", "granitepoint.modelcheck")
-    for name in (*mine, "hypothesis", "msgspec", "numpy", "hdrh", "psutil", "rich", "cyclopts"):
-        assert name not in loaded.split()
+    loaded_modules = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    ).stdout
+    own_packages = ("granitepoint.fleet", "granitepoint.modelcheck")
+    for name in (*own_packages, "hypothesis", "msgspec", "numpy", "hdrh", "psutil", "rich", "cyclopts"):
+        assert name not in loaded_modules.split()
