--- a/granitepoint/fleet/experiment.py
+++ b/granitepoint/fleet/experiment.py
@@ -74,7 +74,7 @@
     rate_per_s: float = 50.0  # planned calls of all zones together
     processes: int = 1
     mix: dict[str, float] = {}  # share of each class; none: equal shares
-    retries: int = 0  # of calls of a class that is safe to repeat, and of refused calls
+    retries: int = 0  # maximum for a call that was refused or whose class is safe to repeat
     retry_wait_s: float = 0.05  # before the first retry; doubles with each
     notice_s: float = 3.0  # between the front's health checks of a proxy
 
@@ -94,9 +94,9 @@
     at_s: float
     count: int
     over_s: float
-    drain_s: float = 1.0
-    down_s: float = 2.0
-    proxies: bool = False  # as many hollow proxies of the first service restart with them
+    drain_s: float = 1.0  # from the drain to the stop of a backend
+    down_s: float = 2.0  # from its stop to its start
+    proxies: bool = False  # hollow proxies of the first service with the same numbers restart too
 
 
 class Crash(_Strict, tag="crash", tag_field="kind"):
@@ -105,7 +105,7 @@
     at_s: float
     count: int
     for_s: float
-    notice_s: float = 2.0
+    notice_s: float = 2.0  # until discovery lists the backends as gone
 
 
 class DiscoveryOutage(_Strict, tag="discovery_outage", tag_field="kind"):
@@ -124,7 +124,7 @@
     at_s: float
     for_s: float
     zone: str
-    notice_s: float = 2.0
+    notice_s: float = 2.0  # until discovery lists the backends as gone
 
 
 class RegionCut(_Strict, tag="region_cut", tag_field="kind"):
--- a/granitepoint/fleet/fleet.py
+++ b/granitepoint/fleet/fleet.py
@@ -190,14 +190,14 @@
         for plan in self.plan.backends:
             entry = Endpoint(plan.name, "", plan.zone, "m1", plan.cell, "Ready", 1.0, 0)
             lists[plan.service].append(entry)
-        desk_plans = [
-            worker.DeskPlan(
+        endpoint_plans = [
+            worker.DiscoveryEndpointPlan(
                 plan.name, plan.service, plan.zone, plan.region, loopback_address(DISCOVERY_BLOCK, number)
             )
             for number, plan in enumerate(self.plan.proxies)
         ]
-        spec = worker.DiscoverySpec(experiment, lists, backend_addresses, desk_plans)
-        self.discovery, reply = await self._assign("discovery", "discovery", len(desk_plans), spec)
+        spec = worker.DiscoverySpec(experiment, lists, backend_addresses, endpoint_plans)
+        self.discovery, reply = await self._assign("discovery", "discovery", len(endpoint_plans), spec)
         return reply["desks"], reply["known"]
 
     async def _start_proxies(self, discovery_addresses: dict[str, str], known_lists: dict[str, Any]) -> None:
--- a/granitepoint/fleet/plan.py
+++ b/granitepoint/fleet/plan.py
@@ -8,7 +8,12 @@
 
 from granitepoint.fleet.experiment import Experiment
 
-BACKEND_BLOCK, PROXY_BLOCK, REAL_PROXY_BLOCK, DISCOVERY_BLOCK = 20, 40, 60, 70  # second octet
+BACKEND_BLOCK, PROXY_BLOCK, REAL_PROXY_BLOCK, DISCOVERY_BLOCK = (
+    20,
+    40,
+    60,
+    70,
+)  # second octet of the addresses
 ADDRESSES_PER_BLOCK = 250 * 250
 
 
--- a/granitepoint/fleet/results.py
+++ b/granitepoint/fleet/results.py
@@ -62,7 +62,7 @@
 
     proxies: int
     histograms: dict[str, dict[str, float]]
-    settling: int  # calls that waited for a connection to settle after its last answer
+    settling: int  # calls delayed because their connection had only just answered another
 
 
 class Control(Record, tag="control"):
--- a/granitepoint/fleet/run.py
+++ b/granitepoint/fleet/run.py
@@ -52,7 +52,7 @@
         self.experiment, self.writer, self.report_progress = experiment, writer, report_progress
         self.measured_from = 0.0  # monotonic; 0: the measured time has not started
         self.usage_before: dict[int, Usage] = {}
-        self.landmarks: list[Landmark] = []
+        self.tracked_versions: list[Landmark] = []
         self.collection_started = False
 
     def record_event(self, what: str, figures: dict[str, Any], at: float | None = None) -> None:
@@ -112,10 +112,10 @@
         for role in ("backends", "proxies", "discovery"):
             await fleet.send_to_role(role, "mark")
         self.usage_before, self.measured_from = fleet.usage(), time.monotonic()
-        troubles = Troubles(fleet, self.measured_from, self.record_event)
-        self.landmarks = troubles.landmarks
+        fault_injector = Troubles(fleet, self.measured_from, self.record_event)
+        self.tracked_versions = fault_injector.landmarks
         async with asyncio.TaskGroup() as group:
-            group.create_task(troubles.run(experiment.troubles))
+            group.create_task(fault_injector.run(experiment.troubles))
             group.create_task(self._wait_for_end())
         await self._collect(fleet, without_waiting=False)
 
@@ -136,15 +136,15 @@
         elapsed = time.monotonic() - self.measured_from
         self._write_processes(fleet, fleet.usage())
         control = await fleet.send_to_discovery("figures")
-        written_at = control.pop("told")
+        notified_at = control.pop("told")
         self.writer.write(results.Control(span_s=elapsed, **control))
         proxies = await fleet.send_to_role("proxies", "figures")
         self._write_proxies(fleet, proxies)
         await self._write_programs(fleet)
         self._write_backends(fleet, await fleet.send_to_role("backends", "figures"))
-        in_force = {name: times for reply in proxies for name, times in reply["in_force"].items()}
-        starts = {name: times for reply in proxies for name, times in reply["starts"].items()}
-        self._write_propagation_times(fleet, written_at, in_force, starts)
+        applied_at = {name: times for reply in proxies for name, times in reply["in_force"].items()}
+        start_times = {name: times for reply in proxies for name, times in reply["starts"].items()}
+        self._write_propagation_times(fleet, notified_at, applied_at, start_times)
         timeout = max(cls.deadline for cls in self.experiment.parsed_settings().classes) + FINAL_CALLS_MARGIN
         callers = await fleet.send_to_role("callers", "figures", timeout=timeout, now=without_waiting)
         if self.experiment.callers.rate_per_s > 0:
@@ -203,35 +203,39 @@
             self.writer.write(results.Backends(service=service, holds=backend_count, counts=dict(counts)))
 
     def _write_propagation_times(
-        self, fleet: Fleet, written_at: dict[str, Any], in_force_at: dict[str, Any], starts: dict[str, Any]
+        self,
+        fleet: Fleet,
+        notified_at: dict[str, Any],
+        applied_at: dict[str, Any],
+        start_times: dict[str, Any],
     ) -> None:
         """Writes how long changes of the server lists took to reach the proxies, for each kind of change.
 
         Measured are all versions of that kind and, for each version, all proxies of the zones that it was to
-        reach. `written_at` and `in_force_at` map each proxy to its versions and their monotonic times. Hollow
+        reach. `notified_at` and `applied_at` map each proxy to its versions and their monotonic times. Hollow
         proxies report when a version came into force; for real ones the time is that of discovery's answer.
         """
-        written_by_proxy = {
-            name: {int(version): at for version, at in times.items()} for name, times in written_at.items()
+        notified_by_proxy = {
+            name: {int(version): at for version, at in times.items()} for name, times in notified_at.items()
         }
-        in_force_by_proxy = {
-            name: {int(version): at for version, at in times.items()} for name, times in in_force_at.items()
+        applied_by_proxy = {
+            name: {int(version): at for version, at in times.items()} for name, times in applied_at.items()
         }
-        labels: dict[str, list[Landmark]] = {}
-        for landmark in self.landmarks:
-            labels.setdefault(landmark.label, []).append(landmark)
-        for label, landmarks in labels.items():
-            first_since = landmarks[0].since
+        versions_by_label: dict[str, list[Landmark]] = {}
+        for tracked in self.tracked_versions:
+            versions_by_label.setdefault(tracked.label, []).append(tracked)
+        for label, tracked_versions in versions_by_label.items():
+            first_counted_from = tracked_versions[0].since
             slowest: list[float] = []
             all_times: list[float] = []
             never = over_limit = 0
-            for landmark in landmarks:
+            for tracked in tracked_versions:
                 version_times = []
                 for name, plan in fleet.proxies.items():
-                    if plan.service != landmark.service or plan.zone not in landmark.zones:
+                    if plan.service != tracked.service or plan.zone not in tracked.zones:
                         continue
-                    times = in_force_by_proxy[name] if name in in_force_by_proxy else written_by_proxy[name]
-                    seconds = in_force_after(landmark, times, starts.get(name, ()))
+                    times = applied_by_proxy[name] if name in applied_by_proxy else notified_by_proxy[name]
+                    seconds = in_force_after(tracked, times, start_times.get(name, ()))
                     if seconds is None:
                         never += 1
                     else:
@@ -242,11 +246,13 @@
                     slowest.append(max(version_times))
             if not all_times:
                 self.record_event(
-                    f"in force: {label}", {"versions": len(landmarks), "never": never}, first_since
+                    f"in force: {label}",
+                    {"versions": len(tracked_versions), "never": never},
+                    first_counted_from,
                 )
                 continue
             figures = {
-                "versions": len(landmarks),
+                "versions": len(tracked_versions),
                 "told": len(all_times),
                 "never": never,
                 "after 4 s": over_limit,
@@ -254,7 +260,7 @@
                 "last_median_s": round(statistics.median(slowest), 4),
                 "last_worst_s": round(max(slowest), 4),
             }
-            self.record_event(f"in force: {label}", figures, first_since)
+            self.record_event(f"in force: {label}", figures, first_counted_from)
 
     def _write_calls(self, replies: list[Any]) -> None:
         """Merges and writes the results of all callers."""
--- a/granitepoint/fleet/slopes.py
+++ b/granitepoint/fleet/slopes.py
@@ -449,7 +449,8 @@
 def _probe_cost_lines(name: str, runs: Sequence[tuple[float, Records]], load_average: object) -> list[Slope]:
     """The CPU cost of a call and of a probe, as two lines.
 
-    They are separated, and from the cost of an idle proxy, by a fit over runs with few and with many probes.
+    A fit over runs with few and with many probes separates them from each other and from the cost of an idle
+    proxy.
     """
     rows, cores_used = [], []
     for rate, records in runs:
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -46,8 +46,8 @@
     backends: list[BackendPlan]
 
 
-class DeskPlan(msgspec.Struct):
-    """The discovery address of one proxy."""
+class DiscoveryEndpointPlan(msgspec.Struct):
+    """The discovery endpoint of one proxy: where it listens and which list it serves."""
 
     name: str
     service: int
@@ -62,7 +62,7 @@
     experiment: Experiment
     lists: list[list[Endpoint]]  # by service
     addresses: dict[str, list[str]]  # backend: its address for each region
-    desks: list[DeskPlan]  # one for each proxy
+    desks: list[DiscoveryEndpointPlan]  # endpoints, one for each proxy
 
 
 class ProxiesSpec(msgspec.Struct, tag="proxies"):
@@ -147,7 +147,7 @@
         settings = spec.experiment.parsed_settings()
         self.classes = {cls.name: cls for cls in settings.classes}
         self.fronts: dict[str, Front] = {}
-        self.inner_call_count = 0
+        self.next_call_count = 0
         failure_rng = np.random.default_rng(derive_seed(spec.seed, "fails"))
         failure_draws = iter(lambda: float(failure_rng.random()), None)
         service_times = hollow_backends.draw_times(sizes, derive_seed(spec.seed, "times"))
@@ -181,8 +181,8 @@
             if budget_header
             else cls.deadline
         )
-        self.inner_call_count += 1
-        call_id = f"{backend.name}-{self.inner_call_count}"
+        self.next_call_count += 1
+        call_id = f"{backend.name}-{self.next_call_count}"
         fanout = self.spec.experiment.backends.fanout
         return asyncio.get_running_loop().create_task(
             call_below(self.fronts[backend.name], cls, call_id, message.came + budget_s, fanout)
@@ -235,6 +235,7 @@
         return {}
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
+        """Resets the counts of the backends."""
         for backend in self.backends.values():
             backend.counts.clear()
         return {}
@@ -247,41 +248,42 @@
         return {str(service): dict(count) for service, count in counts.items()}
 
     async def end(self) -> None:
+        """Stops closing idle connections."""
         if self.idle_sweep_task is not None:
             self.idle_sweep_task.cancel()
 
 
 class DiscoveryRole(Role):
-    """The simulated discovery service, with one address for each proxy."""
+    """The simulated discovery service, with an endpoint of its own for each proxy."""
 
     def __init__(self, spec: DiscoverySpec) -> None:
         """Creates the server list of each service."""
         self.spec = spec
         self.discovery = Discovery(spec.experiment.discovery)
         for entries in spec.lists:
-            book = Book(spec.experiment.discovery.kept_changes)
+            service_list = Book(spec.experiment.discovery.kept_changes)
             for entry in entries:
-                book.add(entry, spec.addresses[entry.name])
-            self.discovery.books.append(book)
+                service_list.add(entry, spec.addresses[entry.name])
+            self.discovery.books.append(service_list)
         self.bytes_at_mark: dict[str, tuple[int, int]] = {}
         self.busy_at_mark = 0.0
 
     async def start(self) -> dict[str, Any]:
-        """Opens an address for each proxy.
+        """Opens an endpoint for each proxy.
 
-        Returns these addresses, and the first list of each service and region as proxies get it in their
+        Returns their addresses, and the first list of each service and region as proxies get it in their
         configuration.
         """
-        desks = [
+        endpoints = [
             self.discovery.add_desk(plan.name, plan.service, plan.zone, plan.region, plan.host)
             for plan in self.spec.desks
         ]
         known = {
-            f"{service} {region}": msgspec.json.decode(book.answer(None, region)[0])
-            for service, book in enumerate(self.discovery.books)
+            f"{service} {region}": msgspec.json.decode(service_list.answer(None, region)[0])
+            for service, service_list in enumerate(self.discovery.books)
             for region in range(len(self.spec.experiment.regions))
         }
-        return {"desks": {desk.name: desk.listener.address for desk in desks}, "known": known}
+        return {"desks": {endpoint.name: endpoint.listener.address for endpoint in endpoints}, "known": known}
 
     async def do_change(self, command: Command) -> dict[str, Any]:
         """Changes entries of one service's list; returns the new version and the monotonic time."""
@@ -313,13 +315,14 @@
         return {"at": time.monotonic()}
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
+        """Resets the counts of all endpoints."""
         discovery = self.discovery
         discovery.timeline.clear()
         discovery.began = time.monotonic()
         self.busy_at_mark = discovery.turns.busy
-        for name, desk in discovery.desks.items():
-            desk.counts = Counts()
-            self.bytes_at_mark[name] = desk.listener.bytes_in, desk.listener.bytes_out
+        for name, endpoint in discovery.desks.items():
+            endpoint.counts = Counts()
+            self.bytes_at_mark[name] = endpoint.listener.bytes_in, endpoint.listener.bytes_out
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
@@ -329,7 +332,7 @@
         the monotonic time at which each version was first sent to it.
         """
         discovery = self.discovery
-        count_names = (
+        names = (
             "calls",
             "whole_lists",
             "changes",
@@ -339,17 +342,20 @@
             "watches_begun",
             "renewed",
         )
-        totals = Counter({name: 0 for name in count_names})
+        totals = Counter({name: 0 for name in names})
         max_bytes = bytes_in = bytes_out = 0
-        for name, desk in discovery.desks.items():
-            for count_name in count_names:
-                totals[count_name] += getattr(desk.counts, count_name)
-            before = self.bytes_at_mark.get(name, (0, 0))
-            received, sent = desk.listener.bytes_in - before[0], desk.listener.bytes_out - before[1]
+        for name, endpoint in discovery.desks.items():
+            for count_name in names:
+                totals[count_name] += getattr(endpoint.counts, count_name)
+            bytes_at_mark = self.bytes_at_mark.get(name, (0, 0))
+            bytes_received, bytes_sent = (
+                endpoint.listener.bytes_in - bytes_at_mark[0],
+                endpoint.listener.bytes_out - bytes_at_mark[1],
+            )
             bytes_in, bytes_out, max_bytes = (
-                bytes_in + received,
-                bytes_out + sent,
-                max(max_bytes, received + sent),
+                bytes_in + bytes_received,
+                bytes_out + bytes_sent,
+                max(max_bytes, bytes_received + bytes_sent),
             )
         return {
             **totals,
@@ -358,10 +364,8 @@
             "bytes_out": bytes_out,
             "most_bytes_of_one": max_bytes,
             "busy_s": discovery.turns.busy - self.busy_at_mark,
-            "calls_by_100ms": {
-                str(slot): count_name for slot, count_name in sorted(discovery.timeline.items())
-            },
-            "told": {name: desk.counts.told for name, desk in discovery.desks.items()},
+            "calls_by_100ms": {str(slot): count for slot, count in sorted(discovery.timeline.items())},
+            "told": {name: endpoint.counts.told for name, endpoint in discovery.desks.items()},
         }
 
 
@@ -425,6 +429,7 @@
         return totals
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
+        """Resets counts and stage times; collects garbage, and exempts what remains from later collections."""
         gc.collect()
         gc.freeze()
         self.totals_at_mark = self._totals()
@@ -442,23 +447,24 @@
         totals = self._totals()
         totals.subtract(self.totals_at_mark)
         histograms: dict[str, Histogram] = {}
-        settling_calls = 0
+        reuse_delays = 0
         for proxy in self.proxies.values():
             if proxy.stages is not None:
-                settling_calls += proxy.stages.settling
+                reuse_delays += proxy.stages.settling
                 for name, histogram in proxy.stages.histograms.items():
                     histograms.setdefault(name, Histogram()).merge(histogram)
         figures = {name: proxy.figures() for name, proxy in self.proxies.items()}
         return {
             "totals": dict(totals),
             "stages": {name: histogram.pack() for name, histogram in histograms.items()},
-            "settling": settling_calls,
+            "settling": reuse_delays,
             "in_force": {name: proxy_figures["in_force"] for name, proxy_figures in figures.items()},
             "starts": {name: proxy_figures["starts"] for name, proxy_figures in figures.items()},
             "serving": {name: proxy_figures["serving"] for name, proxy_figures in figures.items()},
         }
 
     async def end(self) -> None:
+        """Ends all proxies as if their processes were killed."""
         for proxy in self.proxies.values():
             proxy.end()
 
@@ -477,15 +483,15 @@
         import socket
 
         for name, plan in self.plans.items():
-            with (
-                socket.socket() as temporary_socket
-            ):  # the loopback address is the proxy's own, so its port stays free
+            # No other process uses this loopback address, so the port stays free.
+            with socket.socket() as temporary_socket:
                 temporary_socket.bind((plan.host, 0))
                 self.ports[name] = temporary_socket.getsockname()[1]
             await self._launch(name)
         return self._addresses_and_pids()
 
     def _addresses_and_pids(self) -> dict[str, Any]:
+        """Addresses and process ids of all proxies, by name."""
         return {
             "addresses": {name: f"{plan.host}:{self.ports[name]}" for name, plan in self.plans.items()},
             "pids": {name: process.pid for name, process in self.processes.items()},
@@ -533,6 +539,7 @@
         return {"ended": [name for name, process in self.processes.items() if process.returncode is not None]}
 
     async def end(self) -> None:
+        """Kills all proxies."""
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
                 process.kill()  # all measurements are done, so a graceful shutdown would only take time
@@ -591,6 +598,7 @@
         }
 
     async def end(self) -> None:
+        """Cancels calls and health checks."""
         for task in self.tasks:
             task.cancel()
 
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -214,7 +214,7 @@
 
 
 def test_a_change_is_in_force_with_the_first_list_of_its_version_or_a_later_one() -> None:
-    landmark = Landmark("change", 0, version=5, since=100.0, zones=frozenset("a"))
-    assert in_force_after(landmark, {4: 99.0, 6: 100.5, 7: 101.0}) == 0.5
-    assert in_force_after(landmark, {5: 99.9}) == 0.0 and in_force_after(landmark, {4: 101.0}) is None
-    assert in_force_after(landmark, {5: 103.0}, [90.0, 102.0, 104.0]) == 1.0  # the proxy was down until 102
+    tracked = Landmark("change", 0, version=5, since=100.0, zones=frozenset("a"))
+    assert in_force_after(tracked, {4: 99.0, 6: 100.5, 7: 101.0}) == 0.5
+    assert in_force_after(tracked, {5: 99.9}) == 0.0 and in_force_after(tracked, {4: 101.0}) is None
+    assert in_force_after(tracked, {5: 103.0}, [90.0, 102.0, 104.0]) == 1.0  # the proxy was down until 102
--- a/tests/test_fleet_run.py
+++ b/tests/test_fleet_run.py
@@ -1,4 +1,7 @@
-"""Runs of a small fleet with real and hollow proxies, faults and an interrupt."""
+"""Runs of a small fleet with real and hollow proxies, faults and an interrupt.
+
+The interrupt is sent on a progress report of the run, not after a fixed time.
+"""
 
 from __future__ import annotations
 
