--- a/granitepoint/fleet/experiment.py
+++ b/granitepoint/fleet/experiment.py
@@ -165,7 +165,7 @@
     name: str
     seed: int
     duration_s: float  # of the measurement, which starts when the fleet has settled
-    settle_s: float = 3.0  # calls are already made, but not counted
+    settle_s: float = 3.0  # after all proxies are ready; calls are made, but not counted
     discovery: DiscoverySizes = msgspec.field(default_factory=DiscoverySizes)
     backends: BackendSizes = msgspec.field(default_factory=BackendSizes)
     proxies: ProxySizes = msgspec.field(default_factory=ProxySizes)
--- a/granitepoint/fleet/slopes.py
+++ b/granitepoint/fleet/slopes.py
@@ -48,17 +48,17 @@
 class Series(msgspec.Struct, kw_only=True):
     """Experiments of growing size, and the figures that are read from the results of each."""
 
-    per: str
-    sizes: list[tuple[float, Experiment]]
+    per: str  # unit of x
+    sizes: list[tuple[float, Experiment]]  # x and the experiment of this size
     figures: dict[str, tuple[str, Callable[[Records], float]]]  # name: unit, function that reads it
 
 
-# functions that read a figure from the records of a run
+# Figures of a run. Those with parameters return the function that reads the figure from the records.
 def _processes_of_role(records: Records, role: str) -> list[results.Process]:
     return [record for record in records if isinstance(record, results.Process) and record.role == role]
 
 
-def cores_per_item(role: str) -> Callable[[Records], float]:
+def cores_per_member(role: str) -> Callable[[Records], float]:
     """Reads the cores used for each proxy, or other member, that processes of the role hold."""
 
     def read(records: Records) -> float:
@@ -178,7 +178,7 @@
         per="listed backend",
         sizes=sizes,
         figures={
-            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "cores of an idle real proxy": ("cores", cores_per_member("proxy")),
             "memory of an idle real proxy": ("bytes", memory_per_process("proxy")),
             "discovery bytes to an idle proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
         },
@@ -208,7 +208,7 @@
         per="call a second",
         sizes=sizes,
         figures={
-            "cores of a real proxy": ("cores", cores_per_item("proxy")),
+            "cores of a real proxy": ("cores", cores_per_member("proxy")),
             "memory of a real proxy": ("bytes", memory_per_process("proxy")),
             "probes": ("1/s", backend_count_per_s("probes")),
             "bytes of probes": ("bytes/s", backend_count_per_s("probe bytes")),
@@ -286,7 +286,7 @@
         per="change a second",
         sizes=sizes,
         figures={
-            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "cores of an idle real proxy": ("cores", cores_per_member("proxy")),
             "bytes for each proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
             "calls of each proxy": ("1/s", DISCOVERY_CALLS_PER_PROXY),
             "last proxy has a change": ("s", max_propagation_time),
@@ -310,7 +310,7 @@
         per="entry changed a second",
         sizes=sizes,
         figures={
-            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "cores of an idle real proxy": ("cores", cores_per_member("proxy")),
             "bytes for each proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
         },
     )
@@ -336,7 +336,7 @@
             "bytes for each proxy": ("bytes/s", DISCOVERY_BYTES_PER_PROXY),
             "whole lists": ("1", from_control(lambda c: float(c.whole_lists))),
             "cores of the discovery stand-in": ("cores", total_cores("discovery")),
-            "cores of an idle real proxy": ("cores", cores_per_item("proxy")),
+            "cores of an idle real proxy": ("cores", cores_per_member("proxy")),
             "last proxy has a change": ("s", max_propagation_time),
         },
     )
@@ -347,9 +347,8 @@
 
     One answer in a hundred of each service is an error, to show by how much retries at each depth multiply.
     """
-    proxies = ProxySizes(
-        real=1, hollow=3, per_process=14
-    )  # few to a process: a proxy deducts the lag of its event loop from each budget
+    # Few proxies to a process: each deducts the lag of its event loop from the budgets of its calls.
+    proxies = ProxySizes(real=1, hollow=3, per_process=14)
     callers = CallerSizes(rate_per_s=20.0, mix={"read": 1.0}, retries=2)
     classes = [{**DEFAULT_CLASSES[0], "deadline": deadline_s, "objective": 0.3 * deadline_s}]
     sizes = []
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -429,7 +429,7 @@
         return totals
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
-        """Resets counts and stage times; collects garbage, and exempts what remains from later collections."""
+        """Resets counts and stage times; collects garbage, and exempts what remains from later collection."""
         gc.collect()
         gc.freeze()
         self.totals_at_mark = self._totals()
