--- a/granitepoint/fleet/troubles.py
+++ b/granitepoint/fleet/troubles.py
@@ -17,9 +17,9 @@
     Change,
     Crash,
     DiscoveryOutage,
+    Fault,
     RegionCut,
     Restarts,
-    Trouble,
     ZoneLoss,
 )
 from granitepoint.fleet.fleet import Fleet
@@ -47,7 +47,7 @@
         self.all_zones = frozenset(fleet.experiment.backends.zones)
         self.marks = 0
 
-    async def run(self, faults: Iterable[Trouble]) -> None:
+    async def run(self, faults: Iterable[Fault]) -> None:
         """Applies all faults, concurrently, and returns when the last of them is over."""
         handlers: dict[type, Callable[[Any], Coroutine[Any, Any, None]]] = {
             Change: self.change,
@@ -86,7 +86,7 @@
         for name in names:
             by_service.setdefault(self.fleet.backends[name].service, []).append(name)
         for service, group in by_service.items():
-            reply = await self.fleet.ask_discovery("change", group, service=service, **changes)
+            reply = await self.fleet.send_to_discovery("change", group, service=service, **changes)
             start = reply["at"] if counted_from is None else counted_from
             self.tracked_versions.append(
                 TrackedVersion(label, service, reply["version"], start, zones or self.all_zones)
@@ -130,14 +130,14 @@
         companions += [plan.name for plan in self.fleet.proxies.values() if plan.of_backend == name]
         await self.change_list("restart: draining", [name], status="Terminating")
         await asyncio.sleep(drain)
-        await self.fleet.tell("stop", [name])
+        await self.fleet.send_to_holders("stop", [name])
         if companions:
-            await self.fleet.tell("stop", companions)
+            await self.fleet.send_to_holders("stop", companions)
         await self.change_list("restart: gone", [name], status="Gone")
         await asyncio.sleep(down)
         if companions:
-            await self.fleet.tell("start", companions)
-        await self.fleet.tell("start", [name])
+            await self.fleet.send_to_holders("start", companions)
+        await self.fleet.send_to_holders("start", [name])
         await self.change_list("restart: back", [name], status="Ready", since_ms=self.now_ms())
 
     async def crash(self, fault: Crash) -> None:
@@ -145,22 +145,22 @@
         await self.sleep_until(fault.at_s)
         names = self.pick_backends(fault.count)
         self.record_event("crash", {"backends": len(names)})
-        await self.fleet.tell("stop", names)
+        await self.fleet.send_to_holders("stop", names)
         await asyncio.sleep(min(fault.notice_s, fault.for_s))
         await self.change_list("crash: gone", names, status="Gone")
         await self.sleep_until(fault.at_s + fault.for_s)
-        await self.fleet.tell("start", names)
+        await self.fleet.send_to_holders("start", names)
         await self.change_list("crash: back", names, status="Ready", since_ms=self.now_ms())
 
     async def discovery_outage(self, fault: DiscoveryOutage) -> None:
         """Stops discovery; a change that is made meanwhile reaches the proxies after its return."""
         await self.sleep_until(fault.at_s)
-        await self.fleet.ask_discovery("down")
+        await self.fleet.send_to_discovery("down")
         self.record_event("discovery is down", {})
         await self.sleep_until(fault.at_s + fault.for_s)
         first = len(self.tracked_versions)
         await self.change_list("outage: change", self.pick_backends(1), weight=2.0)
-        up_at = (await self.fleet.ask_discovery("up"))["at"]
+        up_at = (await self.fleet.send_to_discovery("up"))["at"]
         self._set_counted_from(first, up_at)
         self.record_event("discovery is back", {})
 
@@ -178,18 +178,18 @@
         backends, proxies = self.members_of_zone(fault.zone)
         others = self.all_zones - {fault.zone}
         await asyncio.gather(
-            self.fleet.tell("cut", backends),
-            self.fleet.tell("stop", proxies),
-            self.fleet.ask_discovery("cut", [fault.zone]),
+            self.fleet.send_to_holders("cut", backends),
+            self.fleet.send_to_holders("stop", proxies),
+            self.fleet.send_to_discovery("cut", [fault.zone]),
         )
         self.record_event("a zone is lost", {"backends": len(backends), "proxies": len(proxies)})
         await asyncio.sleep(min(fault.notice_s, fault.for_s))
         await self.change_list("zone: gone", backends, zones=others, status="Gone")
         await self.sleep_until(fault.at_s + fault.for_s)
-        await self.fleet.tell("stop", backends)
-        await self.fleet.ask_discovery("heal")
-        await self.fleet.tell("start", proxies)
-        await self.fleet.tell("start", backends)
+        await self.fleet.send_to_holders("stop", backends)
+        await self.fleet.send_to_discovery("heal")
+        await self.fleet.send_to_holders("start", proxies)
+        await self.fleet.send_to_holders("start", backends)
         await self.change_list("zone: back", backends, status="Ready", since_ms=self.now_ms())
         self.record_event("the zone is back, cold", {})
 
@@ -205,9 +205,11 @@
         for region, zones in enumerate(regions):
             others = [number for number in range(len(regions)) if number != region]
             names = [name for name, plan in self.fleet.backends.items() if plan.zone in zones]
-            orders.append(partial(self.fleet.tell, names=names, regions=others))
+            orders.append(partial(self.fleet.send_to_holders, names=names, regions=others))
         far_zones = [zone for zones in regions[1:] for zone in zones]
-        await asyncio.gather(*(order("cut") for order in orders), self.fleet.ask_discovery("cut", far_zones))
+        await asyncio.gather(
+            *(order("cut") for order in orders), self.fleet.send_to_discovery("cut", far_zones)
+        )
         self.record_event("the regions are cut", {})
         await self.sleep_until(fault.at_s + fault.for_s / 2)
         near_zones = frozenset(regions[0])
@@ -217,7 +219,7 @@
         tracked = self.tracked_versions[-1]
         await self.sleep_until(fault.at_s + fault.for_s)
         await asyncio.gather(*(order("heal") for order in orders))
-        healed_at = (await self.fleet.ask_discovery("heal"))["at"]
+        healed_at = (await self.fleet.send_to_discovery("heal"))["at"]
         self.tracked_versions.append(
             TrackedVersion(
                 "cut: change, others after the heal", 0, tracked.version, healed_at, frozenset(far_zones)
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -1,7 +1,7 @@
-"""One process of a fleet: holds many stand-ins of one role, and does what the run tells it, line by line.
+"""One worker process of a fleet: simulates many members of one role, as commanded over a pipe.
 
-Standard input: the role, then commands; standard output: an answer to each. It ends with its input, so that
-nothing outlives the run that started it, and after LONGEST_LIFE whatever happens.
+Standard input: the role, then commands, one JSON line each; standard output: a reply to each. The process
+ends with its input, so that it doesn't outlive the run that started it, and after MAX_LIFETIME in any case.
 """
 
 from __future__ import annotations
@@ -29,23 +29,25 @@
 from granitepoint.fleet.discovery import CallCounts, Discovery, ListedBackend, ServiceList
 from granitepoint.fleet.experiment import Experiment
 from granitepoint.fleet.measure import Histogram
-from granitepoint.fleet.plan import BackendPlan, ProxyPlan, derive
+from granitepoint.fleet.plan import BackendPlan, ProxyPlan, derive_seed
 from granitepoint.fleet.proxies import HollowProxy, StageTimes
 from granitepoint.fleet.wire import Listener, Message, split_address
 from granitepoint.net import logs
 from granitepoint.net.config import Config, flatten_settings
 
-LONGEST_LIFE = 900.0  # s
+MAX_LIFETIME = 900.0  # s
 
 
 class BackendsSpec(msgspec.Struct, tag="backends"):
+    """The simulated backends of one worker process."""
+
     experiment: Experiment
     seed: int
     backends: list[BackendPlan]
 
 
-class DeskPlan(msgspec.Struct):
-    """Where one proxy asks."""
+class DiscoveryEndpointPlan(msgspec.Struct):
+    """The discovery endpoint of one proxy: where it listens and which list it serves."""
 
     name: str
     service: int
@@ -55,131 +57,163 @@
 
 
 class DiscoverySpec(msgspec.Struct, tag="discovery"):
+    """The discovery service, with the server lists that it starts with."""
+
     experiment: Experiment
-    lists: list[list[ListedBackend]]  # of each service
-    addresses: dict[str, list[str]]  # of each backend, by region
-    desks: list[DeskPlan]
+    lists: list[list[ListedBackend]]  # by service
+    addresses: dict[str, list[str]]  # backend: its address for each region
+    desks: list[DiscoveryEndpointPlan]  # endpoints, one for each proxy
 
 
 class ProxiesSpec(msgspec.Struct, tag="proxies"):
+    """The hollow proxies of one worker process."""
+
     experiment: Experiment
     proxies: list[ProxyPlan]
-    discovery: dict[str, str]  # where each asks
-    known: dict[str, dict[str, Any]]  # by "service region"
+    discovery: dict[str, str]  # proxy: its discovery address
+    known: dict[str, dict[str, Any]]  # "service region": the list in the configuration
 
 
-class ProgramsSpec(msgspec.Struct, tag="programs"):
-    """Real proxies: the program itself, each a process."""
+class RealProxiesSpec(msgspec.Struct, tag="programs"):
+    """All real proxies: each is the program itself in a process of its own."""
 
     experiment: Experiment
     proxies: list[ProxyPlan]
-    discovery: dict[str, str]
+    discovery: dict[str, str]  # as in ProxiesSpec
     known: dict[str, dict[str, Any]]
-    folder: str
+    folder: str  # of configurations and logs
 
 
 class CallersSpec(msgspec.Struct, tag="callers"):
+    """The callers of one worker process."""
+
     experiment: Experiment
     seed: int
-    proxies: dict[str, str]
-    zones: dict[str, str]
+    proxies: dict[str, str]  # proxy: address
+    zones: dict[str, str]  # proxy: zone
 
 
-Spec = BackendsSpec | DiscoverySpec | ProxiesSpec | ProgramsSpec | CallersSpec
+Spec = BackendsSpec | DiscoverySpec | ProxiesSpec | RealProxiesSpec | CallersSpec
 
 
 class Command(msgspec.Struct):
-    number: int  # of the order; its reply has the same
+    """One line of input after the role: the method `do_<do>` of the role is called with it."""
+
+    number: int  # unique; the reply has the same number
     do: str
-    names: list[str] = []
+    names: list[str] = []  # members that it applies to
     args: dict[str, Any] = {}
 
 
 class Reply(msgspec.Struct):
-    number: int = 0  # 0: it has started
-    told: dict[str, Any] = {}
-    error: str = ""
+    """One line of output: the reply to a command, or the report that the role has started."""
+
+    number: int = 0  # of the command; 0: the role has started
+    told: dict[str, Any] = {}  # the result
+    error: str = ""  # why the command failed
 
 
 class Role:
-    """`start` makes all ready; `do_X` carries out command X. Both answer with what the run needs to know."""
+    """What a worker process simulates.
+
+    `start` prepares everything; `do_X` carries out the command X. Both return what the run needs to know.
+    `end` is called when the input ends.
+    """
 
     async def start(self) -> dict[str, Any]:
+        """Prepares the role; returns addresses and the like."""
         raise NotImplementedError
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
-        """The measured time begins."""
+        """Starts the measured time: counts from before it are not reported."""
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns what was counted since `do_mark`."""
         return {}
 
     async def end(self) -> None:
+        """Stops what the role has started."""
         pass
 
 
 class BackendsRole(Role):
+    """Simulated backends, of one service or of several."""
+
     def __init__(self, spec: BackendsSpec) -> None:
+        """Creates the backends; those of every service but the last call the next service."""
         self.spec = spec
         sizes = spec.experiment.backends
-        settings = spec.experiment.module_settings()
+        settings = spec.experiment.parsed_settings()
         self.classes = {cls.name: cls for cls in settings.classes}
         self.fronts: dict[str, Front] = {}
-        self.calls_below = 0
-        fails = np.random.default_rng(derive(spec.seed, "fails"))
-        draws = iter(lambda: float(fails.random()), None)
-        times = hollow_backends.draw_service_times(sizes, derive(spec.seed, "times"))
-        last = sizes.services - 1
+        self.next_call_count = 0
+        failure_rng = np.random.default_rng(derive_seed(spec.seed, "fails"))
+        failure_draws = iter(lambda: float(failure_rng.random()), None)
+        service_times = hollow_backends.draw_service_times(sizes, derive_seed(spec.seed, "times"))
+        last_service = sizes.services - 1
         self.backends = {
             plan.name: hollow_backends.Backend(
-                plan.name, plan.zone, plan.hosts, sizes, settings, times, draws,
-                self._inner if plan.service < last else None,
+                plan.name, plan.zone, plan.hosts, sizes, settings, service_times, failure_draws,
+                self._call_next_service if plan.service < last_service else None,
             )
             for plan in spec.backends
         }  # fmt: skip
         self.services = {plan.name: plan.service for plan in spec.backends}
-        self.sweep: asyncio.Task[None] | None = None
+        self.idle_sweep_task: asyncio.Task[None] | None = None
 
     async def start(self) -> dict[str, Any]:
+        """Opens all listeners; returns the addresses of each backend, one for the callers of each region."""
         for backend in self.backends.values():
             backend.start()
-        self.sweep = asyncio.create_task(hollow_backends.sweep_idle(list(self.backends.values())))
-        return {name: [at.address for at in backend.listeners] for name, backend in self.backends.items()}
+        self.idle_sweep_task = asyncio.create_task(hollow_backends.sweep_idle(list(self.backends.values())))
+        return {
+            name: [listener.address for listener in backend.listeners]
+            for name, backend in self.backends.items()
+        }
 
-    def _inner(self, backend: hollow_backends.Backend, message: Message) -> asyncio.Task[bool]:
+    def _call_next_service(self, backend: hollow_backends.Backend, message: Message) -> asyncio.Task[bool]:
+        """Makes a backend's own calls to the next service; whether all were served is the task's result."""
         cls = self.classes[message.target[1:].partition("?")[0].partition("/")[0]]
-        budget = message.headers.get("x-budget", "")
-        given = float(budget[:-1]) / (1e3 if budget.endswith("m") else 1e6) if budget else cls.deadline
-        self.calls_below += 1
-        call_id = f"{backend.name}-{self.calls_below}"
+        budget_header = message.headers.get("x-budget", "")
+        budget_s = (
+            float(budget_header[:-1]) / (1e3 if budget_header.endswith("m") else 1e6)
+            if budget_header
+            else cls.deadline
+        )
+        self.next_call_count += 1
+        call_id = f"{backend.name}-{self.next_call_count}"
         fanout = self.spec.experiment.backends.fanout
         return asyncio.get_running_loop().create_task(
-            call_next_service(self.fronts[backend.name], cls, call_id, message.received_at + given, fanout)
+            call_next_service(self.fronts[backend.name], cls, call_id, message.received_at + budget_s, fanout)
         )
 
     async def do_wire(self, command: Command) -> dict[str, Any]:
-        """Which proxy each backend calls through."""
+        """Sets the proxy through which each backend calls the next service."""
         for name, address in command.args.items():
             self.fronts[name] = Front([ProxyTarget(split_address(address), "", up=True)], 0.0)
         return {}
 
     async def do_start(self, command: Command) -> dict[str, Any]:
+        """Starts the named backends again, cold."""
         for name in command.names:
             self.backends[name].start(cold=True)
         return {}
 
     async def do_drain(self, command: Command) -> dict[str, Any]:
+        """Lets the named backends drain."""
         for name in command.names:
             self.backends[name].drain()
         return {}
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
+        """Stops the named backends as if their processes were killed."""
         for name in command.names:
             self.backends[name].stop()
         return {}
 
     def _listeners(self, command: Command) -> list[Listener]:
-        """Of the named backends, those for the callers of the given regions."""
+        """The listeners of the named backends, for the callers of the given regions or else of all."""
         regions = command.args.get("regions")
         return [
             listener
@@ -189,56 +223,70 @@
         ]
 
     async def do_cut(self, command: Command) -> dict[str, Any]:
+        """Makes the selected listeners silent, as in a network partition."""
         for listener in self._listeners(command):
             listener.partition()
         return {}
 
     async def do_heal(self, command: Command) -> dict[str, Any]:
+        """Makes the selected listeners reachable again."""
         for listener in self._listeners(command):
             listener.heal()
         return {}
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
+        """Resets the counts of the backends."""
         for backend in self.backends.values():
             backend.counts.clear()
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the summed counts of the backends, by service."""
         counts: dict[int, Counter[str]] = {}
         for name, backend in self.backends.items():
             counts.setdefault(self.services[name], Counter()).update(backend.counts)
         return {str(service): dict(count) for service, count in counts.items()}
 
     async def end(self) -> None:
-        if self.sweep is not None:
-            self.sweep.cancel()
+        """Stops closing idle connections."""
+        if self.idle_sweep_task is not None:
+            self.idle_sweep_task.cancel()
 
 
 class DiscoveryRole(Role):
+    """The simulated discovery service, with an endpoint of its own for each proxy."""
+
     def __init__(self, spec: DiscoverySpec) -> None:
+        """Creates the server list of each service."""
         self.spec = spec
         self.discovery = Discovery(spec.experiment.discovery)
         for entries in spec.lists:
-            book = ServiceList(spec.experiment.discovery.kept_changes)
+            service_list = ServiceList(spec.experiment.discovery.kept_changes)
             for entry in entries:
-                book.add(entry, spec.addresses[entry.name])
-            self.discovery.service_lists.append(book)
-        self.bytes_before: dict[str, tuple[int, int]] = {}
-        self.busy_before = 0.0
+                service_list.add(entry, spec.addresses[entry.name])
+            self.discovery.service_lists.append(service_list)
+        self.bytes_at_mark: dict[str, tuple[int, int]] = {}
+        self.busy_at_mark = 0.0
 
     async def start(self) -> dict[str, Any]:
-        desks = [
+        """Opens an endpoint for each proxy.
+
+        Returns their addresses, and the first list of each service and region as proxies get it in their
+        configuration.
+        """
+        endpoints = [
             self.discovery.add_endpoint(plan.name, plan.service, plan.zone, plan.region, plan.host)
             for plan in self.spec.desks
         ]
         known = {
-            f"{service} {region}": msgspec.json.decode(book.answer(None, region)[0])
-            for service, book in enumerate(self.discovery.service_lists)
+            f"{service} {region}": msgspec.json.decode(service_list.answer(None, region)[0])
+            for service, service_list in enumerate(self.discovery.service_lists)
             for region in range(len(self.spec.experiment.regions))
         }
-        return {"desks": {desk.name: desk.listener.address for desk in desks}, "known": known}
+        return {"desks": {endpoint.name: endpoint.listener.address for endpoint in endpoints}, "known": known}
 
     async def do_change(self, command: Command) -> dict[str, Any]:
+        """Changes entries of one service's list; returns the new version and the monotonic time."""
         args = command.args
         version = self.discovery.change(
             args["service"], command.names, args.get("status", ""), args.get("weight", 0.0),
@@ -247,56 +295,82 @@
         return {"version": version, "at": time.monotonic()}
 
     async def do_down(self, command: Command) -> dict[str, Any]:
+        """Takes discovery down: connections are reset and new ones refused."""
         self.discovery.down()
         return {}
 
     async def do_up(self, command: Command) -> dict[str, Any]:
+        """Brings discovery back; returns the monotonic time."""
         self.discovery.up()
         return {"at": time.monotonic()}
 
     async def do_cut(self, command: Command) -> dict[str, Any]:
+        """Cuts off the proxies of the named zones."""
         self.discovery.partition(command.names)
         return {}
 
     async def do_heal(self, command: Command) -> dict[str, Any]:
+        """Makes all proxies reach discovery again; returns the monotonic time."""
         self.discovery.heal()
         return {"at": time.monotonic()}
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
+        """Resets the counts of all endpoints."""
         discovery = self.discovery
         discovery.calls_by_slot.clear()
         discovery.started_at = time.monotonic()
-        self.busy_before = discovery.work_queue.busy_time
-        for name, desk in discovery.endpoints.items():
-            desk.counts = CallCounts()
-            self.bytes_before[name] = desk.listener.bytes_in, desk.listener.bytes_out
+        self.busy_at_mark = discovery.work_queue.busy_time
+        for name, endpoint in discovery.endpoints.items():
+            endpoint.counts = CallCounts()
+            self.bytes_at_mark[name] = endpoint.listener.bytes_in, endpoint.listener.bytes_out
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the counts of all proxies together.
+
+        `most_bytes_of_one` is the largest number of bytes exchanged with one proxy. `told` has for each proxy
+        the monotonic time at which each version was first sent to it.
+        """
         discovery = self.discovery
-        names = ("calls", "whole_lists", "changes", "empty", "entries", "refused", "watches_begun", "renewed")
-        sums = Counter({name: 0 for name in names})
-        most = ins = outs = 0
-        for name, desk in discovery.endpoints.items():
-            for count in names:
-                sums[count] += getattr(desk.counts, count)
-            before = self.bytes_before.get(name, (0, 0))
-            came, went = desk.listener.bytes_in - before[0], desk.listener.bytes_out - before[1]
-            ins, outs, most = ins + came, outs + went, max(most, came + went)
+        names = (
+            "calls",
+            "whole_lists",
+            "changes",
+            "empty",
+            "entries",
+            "refused",
+            "watches_begun",
+            "renewed",
+        )
+        totals = Counter({name: 0 for name in names})
+        max_bytes = bytes_in = bytes_out = 0
+        for name, endpoint in discovery.endpoints.items():
+            for count_name in names:
+                totals[count_name] += getattr(endpoint.counts, count_name)
+            bytes_at_mark = self.bytes_at_mark.get(name, (0, 0))
+            bytes_received, bytes_sent = (
+                endpoint.listener.bytes_in - bytes_at_mark[0],
+                endpoint.listener.bytes_out - bytes_at_mark[1],
+            )
+            bytes_in, bytes_out, max_bytes = (
+                bytes_in + bytes_received,
+                bytes_out + bytes_sent,
+                max(max_bytes, bytes_received + bytes_sent),
+            )
         return {
-            **sums,
+            **totals,
             "desks": len(discovery.endpoints),
-            "bytes_in": ins,
-            "bytes_out": outs,
-            "most_bytes_of_one": most,
-            "busy_s": discovery.work_queue.busy_time - self.busy_before,
+            "bytes_in": bytes_in,
+            "bytes_out": bytes_out,
+            "most_bytes_of_one": max_bytes,
+            "busy_s": discovery.work_queue.busy_time - self.busy_at_mark,
             "calls_by_100ms": {str(slot): count for slot, count in sorted(discovery.calls_by_slot.items())},
-            "told": {name: desk.counts.notified_at for name, desk in discovery.endpoints.items()},
+            "told": {name: endpoint.counts.notified_at for name, endpoint in discovery.endpoints.items()},
         }
 
 
 def proxy_settings(experiment: Experiment, plan: ProxyPlan) -> dict[str, Any]:
-    """The settings object that this proxy finds in its configuration."""
+    """The settings object in the configuration of this proxy."""
     names = [f"tier{number}" for number in range(experiment.backends.services)]
     return {
         **experiment.raw_settings(),
@@ -310,10 +384,13 @@
 
 
 class ProxiesRole(Role):
+    """Hollow proxies: the real driver and decision module, many to a process."""
+
     def __init__(self, spec: ProxiesSpec) -> None:
+        """Creates the proxies without starting them."""
         self.spec = spec
         sizes = spec.experiment.proxies
-        self.hollow: dict[str, HollowProxy] = {}
+        self.proxies: dict[str, HollowProxy] = {}
         for plan in spec.proxies:
             config = Config(
                 name=plan.name,
@@ -325,89 +402,106 @@
                 known=spec.known[f"{plan.service} {plan.region}"],
                 settings=read_settings(flatten_settings(proxy_settings(spec.experiment, plan))),
             )
-            self.hollow[plan.name] = HollowProxy(config, timed=sizes.timed)
-        self.before: Counter[str] = Counter()
+            self.proxies[plan.name] = HollowProxy(config, timed=sizes.timed)
+        self.totals_at_mark: Counter[str] = Counter()
 
     async def start(self) -> dict[str, Any]:
-        return {name: await proxy.start() for name, proxy in self.hollow.items()}
+        """Starts all proxies; returns the address of each."""
+        return {name: await proxy.start() for name, proxy in self.proxies.items()}
 
     async def do_start(self, command: Command) -> dict[str, Any]:
+        """Starts the named proxies again."""
         for name in command.names:
-            await self.hollow[name].start()
+            await self.proxies[name].start()
         return {}
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
+        """Ends the named proxies as if their processes were killed."""
         for name in command.names:
-            self.hollow[name].kill()
+            self.proxies[name].kill()
         return {}
 
     def _totals(self) -> Counter[str]:
+        """The counts of all proxies since they were created."""
         totals: Counter[str] = Counter()
-        for proxy in self.hollow.values():
+        for proxy in self.proxies.values():
             totals.update(proxy.statistics()["totals"])
         return totals
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
+        """Resets counts and stage times; collects garbage, and exempts what remains from later collection."""
         gc.collect()
         gc.freeze()
-        self.before = self._totals()
-        for proxy in self.hollow.values():
+        self.totals_at_mark = self._totals()
+        for proxy in self.proxies.values():
             if proxy.driver is not None and proxy.timed:
                 proxy.driver.stages = proxy.stages = StageTimes()
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the summed counts, and the stage times of calls as packed histograms.
+
+        `in_force` and `starts` have for each proxy the monotonic times at which versions came into force and
+        at which it was started; `serving` has the size of its server pool.
+        """
         totals = self._totals()
-        totals.subtract(self.before)
-        merged: dict[str, Histogram] = {}
-        settling = 0
-        for proxy in self.hollow.values():
+        totals.subtract(self.totals_at_mark)
+        histograms: dict[str, Histogram] = {}
+        reuse_delays = 0
+        for proxy in self.proxies.values():
             if proxy.stages is not None:
-                settling += proxy.stages.reuse_delays
+                reuse_delays += proxy.stages.reuse_delays
                 for name, histogram in proxy.stages.histograms.items():
-                    merged.setdefault(name, Histogram()).merge(histogram)
-        figures = {name: proxy.statistics() for name, proxy in self.hollow.items()}
+                    histograms.setdefault(name, Histogram()).merge(histogram)
+        figures = {name: proxy.statistics() for name, proxy in self.proxies.items()}
         return {
             "totals": dict(totals),
-            "stages": {name: histogram.encode() for name, histogram in merged.items()},
-            "settling": settling,
-            "in_force": {name: figure["in_force"] for name, figure in figures.items()},
-            "starts": {name: figure["starts"] for name, figure in figures.items()},
-            "serving": {name: figure["serving"] for name, figure in figures.items()},
+            "stages": {name: histogram.encode() for name, histogram in histograms.items()},
+            "settling": reuse_delays,
+            "in_force": {name: proxy_figures["in_force"] for name, proxy_figures in figures.items()},
+            "starts": {name: proxy_figures["starts"] for name, proxy_figures in figures.items()},
+            "serving": {name: proxy_figures["serving"] for name, proxy_figures in figures.items()},
         }
 
     async def end(self) -> None:
-        for proxy in self.hollow.values():
+        """Ends all proxies as if their processes were killed."""
+        for proxy in self.proxies.values():
             proxy.kill()
 
 
-class ProgramsRole(Role):
-    def __init__(self, spec: ProgramsSpec) -> None:
+class RealProxiesRole(Role):
+    """Starts, restarts and kills real proxies."""
+
+    def __init__(self, spec: RealProxiesSpec) -> None:
         self.spec = spec
         self.plans = {plan.name: plan for plan in spec.proxies}
         self.ports: dict[str, int] = {}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self) -> dict[str, Any]:
+        """Starts all proxies; returns their addresses and process ids."""
         import socket
 
         for name, plan in self.plans.items():
-            with socket.socket() as probe:  # nobody else has this address, so the port stays free
-                probe.bind((plan.host, 0))
-                self.ports[name] = probe.getsockname()[1]
+            # No other process uses this loopback address, so the port stays free.
+            with socket.socket() as temporary_socket:
+                temporary_socket.bind((plan.host, 0))
+                self.ports[name] = temporary_socket.getsockname()[1]
             await self._launch(name)
-        return self._told()
+        return self._addresses_and_pids()
 
-    def _told(self) -> dict[str, Any]:
+    def _addresses_and_pids(self) -> dict[str, Any]:
+        """Addresses and process ids of all proxies, by name."""
         return {
             "addresses": {name: f"{plan.host}:{self.ports[name]}" for name, plan in self.plans.items()},
             "pids": {name: process.pid for name, process in self.processes.items()},
         }
 
     async def _launch(self, name: str) -> None:
+        """Writes the configuration of a proxy and starts its process, which logs to a file beside it."""
         plan, sizes = self.plans[name], self.spec.experiment.proxies
         listen = f"{plan.host}:{self.ports[name]}"
-        raw = {
+        config = {
             "name": name,
             "listen": listen,
             "discovery": self.spec.discovery[name],
@@ -418,42 +512,48 @@
         }
         folder = Path(self.spec.folder)
         path = folder / f"{name}.json"
-        path.write_text(json.dumps(raw), encoding="utf-8")
-        environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
-        environ["EDGE_CONFIG"] = str(path)
+        path.write_text(json.dumps(config), encoding="utf-8")
+        environment = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
+        environment["EDGE_CONFIG"] = str(path)
         with (folder / f"{name}.log").open("ab") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "granitepoint", env=environ, stdin=asyncio.subprocess.DEVNULL,
+                sys.executable, "-m", "granitepoint", env=environment, stdin=asyncio.subprocess.DEVNULL,
                 stdout=log, stderr=log,
             )  # fmt: skip
 
     async def do_start(self, command: Command) -> dict[str, Any]:
+        """Starts the named proxies again; returns the addresses and process ids of all."""
         for name in command.names:
             await self._launch(name)
-        return self._told()
+        return self._addresses_and_pids()
 
     async def do_stop(self, command: Command) -> dict[str, Any]:
+        """Kills the named proxies."""
         for name in command.names:
             self.processes[name].kill()
             await self.processes[name].wait()
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the names of proxies whose process has exited."""
         return {"ended": [name for name, process in self.processes.items() if process.returncode is not None]}
 
     async def end(self) -> None:
+        """Kills all proxies."""
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
-                process.kill()  # all is measured by now, so nothing is to be answered any more
+                process.kill()  # all measurements are done, so a graceful shutdown would only take time
             await process.wait()
 
 
 class CallersRole(Role):
+    """Callers that send at a planned rate, through a front that chooses a proxy of their zone."""
+
     def __init__(self, spec: CallersSpec) -> None:
         self.spec = spec
         sizes = spec.experiment.callers
         self.front = Front(proxy_targets(spec.proxies, spec.zones), sizes.notice_s)
-        settings = spec.experiment.module_settings()
+        settings = spec.experiment.parsed_settings()
         self.callers = Callers(
             self.front,
             settings.classes,
@@ -467,20 +567,22 @@
         self.planned = 0
 
     async def start(self) -> dict[str, Any]:
+        """Waits until every proxy is healthy."""
         await self.front.wait_until_ready()
         return {}
 
     async def do_call(self, command: Command) -> dict[str, Any]:
-        """From `begin` to `end`, of which what is planned from `mark` on is counted."""
+        """Sends calls from `begin` to `end`; calls that are planned from `mark` on are counted."""
         args = command.args
         self.callers.measured_from = args["mark"]
         if args["rate"] > 0:
             self.tasks.append(asyncio.create_task(self.front.run_health_checks()))
-            run = self.callers.run(args["rate"], args["begin"], args["end"])
-            self.tasks.append(asyncio.create_task(run))
+            sending = self.callers.run(args["rate"], args["begin"], args["end"])
+            self.tasks.append(asyncio.create_task(sending))
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
+        """Returns the results of the calls; waits until the last has ended, unless `now` is set."""
         for task in self.tasks[1:]:
             if not command.args.get("now"):
                 await task
@@ -496,6 +598,7 @@
         }
 
     async def end(self) -> None:
+        """Cancels calls and health checks."""
         for task in self.tasks:
             task.cancel()
 
@@ -504,43 +607,46 @@
     BackendsSpec: BackendsRole,
     DiscoverySpec: DiscoveryRole,
     ProxiesSpec: ProxiesRole,
-    ProgramsSpec: ProgramsRole,
+    RealProxiesSpec: RealProxiesRole,
     CallersSpec: CallersRole,
 }
 
 
 async def serve() -> None:
+    """Carries out the commands on standard input until it ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 28)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
 
-    def say(reply: Reply) -> None:
+    def send_reply(reply: Reply) -> None:
         sys.stdout.buffer.write(msgspec.json.encode(reply) + b"\n")
         sys.stdout.buffer.flush()
 
     spec: Spec = msgspec.json.decode(await reader.readline(), type=Spec)
     role: Role = ROLES[type(spec)](spec)
     try:
-        say(Reply(told=await role.start()))
+        send_reply(Reply(told=await role.start()))
         while line := await reader.readline():
             command: Command = msgspec.json.decode(line, type=Command)
             try:
-                say(Reply(command.number, await getattr(role, f"do_{command.do}")(command)))
-            except Exception as fault:
-                say(Reply(command.number, error=f"{command.do}: {fault!r}"))
+                send_reply(Reply(command.number, await getattr(role, f"do_{command.do}")(command)))
+            except Exception as error:
+                send_reply(Reply(command.number, error=f"{command.do}: {error!r}"))
     finally:
         await role.end()
 
 
-async def bounded() -> None:
-    async with asyncio.timeout(LONGEST_LIFE):
+async def serve_with_time_limit() -> None:
+    """As `serve`, for at most MAX_LIFETIME. Raises TimeoutError."""
+    async with asyncio.timeout(MAX_LIFETIME):
         await serve()
 
 
 def main() -> int:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run decides when this ends
+    """Runs the worker process; returns its exit status."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the run ends this process, also on an interrupt
     logs.configure(sys.stderr, level=logging.ERROR)
-    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(bounded())
+    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve_with_time_limit())
     return 0
 
 
--- a/tests/test_fleet_stand_ins.py
+++ b/tests/test_fleet_stand_ins.py
@@ -23,7 +23,7 @@
     ServiceList,
     WorkQueue,
 )
-from granitepoint.fleet.experiment import SETTINGS, BackendSizes, DiscoverySizes
+from granitepoint.fleet.experiment import DEFAULT_SETTINGS, BackendSizes, DiscoverySizes
 from granitepoint.fleet.wire import Message, split_address
 from granitepoint.interface import Effect, RequestClass, Settings
 
@@ -395,4 +395,4 @@
 
 
 def test_the_settings_of_the_fleet_have_the_documented_keys() -> None:
-    assert {"grades", "policy_limits", "contract", "report", "discovery", "quantum"} <= set(SETTINGS)
+    assert {"grades", "policy_limits", "contract", "report", "discovery", "quantum"} <= set(DEFAULT_SETTINGS)
