--- a/granitepoint/modelcheck/__main__.py
+++ b/granitepoint/modelcheck/__main__.py
@@ -7,50 +7,52 @@
 import time
 from collections import Counter
 
-from granitepoint.modelcheck.check import CHECKS, Found, check
+from granitepoint.modelcheck.check import CHECKS, CounterexampleFound, check
 
-BATCH = 500  # examples with one seed: what hypothesis keeps of each comes to some hundred KB
+MAX_EXAMPLES_PER_RUN = 500  # examples with one seed: what hypothesis keeps of each comes to some hundred KB
 
 
-def positive(text: str) -> int:
+def parse_positive(text: str) -> int:
     number = int(text)
     if number < 1:
         raise argparse.ArgumentTypeError("has to be 1 or more")
     return number
 
 
-def read(arguments: list[str] | None) -> argparse.Namespace:
+def parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="python -m granitepoint.modelcheck",
         description="Looks for a breach of the rules. Exit code 1: one was found, and is printed.",
     )
-    parser.add_argument("--examples", type=positive, default=200, help="runs for each rule or group of rules")
-    parser.add_argument("--steps", type=positive, default=50, help="steps of each, at most")
+    parser.add_argument(
+        "--examples", type=parse_positive, default=200, help="runs for each rule or group of rules"
+    )
+    parser.add_argument("--steps", type=parse_positive, default=50, help="steps of each, at most")
     parser.add_argument("--seed", type=int, default=0)
     parser.add_argument("--rule", choices=sorted(CHECKS), action="append", help="else all, in three runs")
     return parser.parse_args(arguments)
 
 
-def report(name: str, seconds: float, figures: Counter[str]) -> None:
-    told = ", ".join(f"{figures[what]} {what}" for what in figures)
-    print(f"{name}: {seconds:.1f} s, {told}", flush=True)
+def print_report(name: str, seconds: float, statistics: Counter[str]) -> None:
+    summary = ", ".join(f"{statistics[label]} {label}" for label in statistics)
+    print(f"{name}: {seconds:.1f} s, {summary}", flush=True)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    asked = read(arguments)
-    names = asked.rule or ["instance", "cold", "endings"]
+    options = parse_arguments(arguments)
+    names = options.rule or ["instance", "cold", "endings"]
     failed = False
     for name in names:
-        begun = time.monotonic()
-        figures: Counter[str] = Counter()
+        started_at = time.monotonic()
+        statistics: Counter[str] = Counter()
         try:
-            for first in range(0, asked.examples, BATCH):
-                batch = min(BATCH, asked.examples - first)
-                check(name, batch, asked.steps, asked.seed + first, figures)
-        except Found as found:
+            for offset in range(0, options.examples, MAX_EXAMPLES_PER_RUN):
+                count = min(MAX_EXAMPLES_PER_RUN, options.examples - offset)
+                check(name, count, options.steps, options.seed + offset, statistics)
+        except CounterexampleFound as counterexample:
             failed = True
-            print(f"{name}: FOUND {found}\n\n{found.test}")
-        report(name, time.monotonic() - begun, figures)
+            print(f"{name}: FOUND {counterexample}\n\n{counterexample.test_source}")
+        print_report(name, time.monotonic() - started_at, statistics)
     print("a breach was found" if failed else "no breach was found")
     return int(failed)
 
--- a/granitepoint/modelcheck/check.py
+++ b/granitepoint/modelcheck/check.py
@@ -10,36 +10,36 @@
 from hypothesis import HealthCheck, Phase
 from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
-from granitepoint.modelcheck.cold import ColdStarts
-from granitepoint.modelcheck.endings import Endings
-from granitepoint.modelcheck.obligations import Obligations
+from granitepoint.modelcheck.cold import ColdStartMachine
+from granitepoint.modelcheck.endings import ConnectionMachine
+from granitepoint.modelcheck.obligations import InstanceMachine
 from granitepoint.modelcheck.rules import RULES
 
-Machine = type[RuleBasedStateMachine]
+MachineClass = type[RuleBasedStateMachine]
 
 # The name of each check: its state machine, and what is changed in it.
-CHECKS: dict[str, tuple[Machine, dict[str, Any]]] = {
-    "instance": (Obligations, {}),
-    "cold": (ColdStarts, {}),
-    "endings": (Endings, {}),
-    **{rule.name: (Obligations, {"checkers": (rule,)}) for rule in RULES},
+CHECKS: dict[str, tuple[MachineClass, dict[str, Any]]] = {
+    "instance": (InstanceMachine, {}),
+    "cold": (ColdStartMachine, {}),
+    "endings": (ConnectionMachine, {}),
+    **{rule.name: (InstanceMachine, {"checkers": (rule,)}) for rule in RULES},
 }
-SHRINK = (Phase.generate, Phase.shrink)
-IMPORTS = {
+GENERATE_AND_SHRINK = (Phase.generate, Phase.shrink)
+IMPORTABLE_NAMES = {
     "granitepoint.interface": ("Effect", "ListKind", "RequestClass", "ServerState", "Status", "Tenant"),
     "math": ("inf",),
 }
 
 
-class Found(AssertionError):
+class CounterexampleFound(AssertionError):
     """A rule does not hold; `test` is the shortest case found, as a test."""
 
-    def __init__(self, cause: BaseException, test: str) -> None:
+    def __init__(self, cause: BaseException, test_source: str) -> None:
         super().__init__(str(cause) or repr(cause))
-        self.test = test
+        self.test_source = test_source
 
 
-def as_test(machine: Machine, notes: list[str]) -> str:
+def format_as_test(machine: MachineClass, notes: list[str]) -> str:
     """The steps that hypothesis tells of, as a function that can be run."""
     text = "\n".join(notes)
     steps = text.partition("Falsifying example:\n")[2].partition("\nExplanation:")[0].strip()
@@ -47,7 +47,7 @@
         return text
     steps = re.sub(r"<(\w+\.\w+): [^>]*>", r"\1", steps)  # an enumeration's member
     imports = [f"from {machine.__module__} import {machine.__name__}"]
-    for module, names in IMPORTS.items():
+    for module, names in IMPORTABLE_NAMES.items():
         used = [name for name in names if re.search(rf"\b{name}\b", steps)]
         if used:
             imports.append(f"from {module} import {', '.join(used)}")
@@ -60,16 +60,18 @@
     examples: int,
     steps: int,
     seed: int,
-    figures: Counter[str] | None = None,
-    phases: tuple[Phase, ...] = SHRINK,
-    **changes: Any,
+    statistics: Counter[str] | None = None,
+    phases: tuple[Phase, ...] = GENERATE_AND_SHRINK,
+    **overrides: Any,
 ) -> None:
     """Raises Found with the shortest case. `figures` gets what was run; `changes` are of the machine."""
-    base, own = CHECKS[name]
+    base, own_attributes = CHECKS[name]
     machine = type(
-        base.__name__, (base,), {"figures": figures, "__module__": base.__module__, **own, **changes}
+        base.__name__,
+        (base,),
+        {"statistics": statistics, "__module__": base.__module__, **own_attributes, **overrides},
     )
-    quiet = hypothesis.settings(
+    settings = hypothesis.settings(
         max_examples=examples,
         stateful_step_count=steps,
         deadline=None,
@@ -80,7 +82,7 @@
         suppress_health_check=list(HealthCheck),
     )
     try:
-        seeded = hypothesis.seed(seed)(machine)
-        run_state_machine_as_test(seeded, settings=quiet)  # type: ignore[no-untyped-call]
-    except Exception as fault:
-        raise Found(fault, as_test(base, getattr(fault, "__notes__", []))) from fault
+        seeded_machine = hypothesis.seed(seed)(machine)
+        run_state_machine_as_test(seeded_machine, settings=settings)  # type: ignore[no-untyped-call]
+    except Exception as error:
+        raise CounterexampleFound(error, format_as_test(base, getattr(error, "__notes__", []))) from error
--- a/granitepoint/modelcheck/cold.py
+++ b/granitepoint/modelcheck/cold.py
@@ -11,23 +11,23 @@
 from granitepoint.interface import ListKind, Status
 from granitepoint.logic import Balancer
 from granitepoint.modelcheck.fleet import Fleet
-from granitepoint.modelcheck.world import Make
+from granitepoint.modelcheck.world import BalancerFactory
 
-MOST_SERVERS = 12
+MAX_SERVERS = 12
 
 
-class ColdStarts(RuleBasedStateMachine):
+class ColdStartMachine(RuleBasedStateMachine):
     """The budget of each cold server, over all instances."""
 
-    make: ClassVar[Make] = Balancer
-    figures: ClassVar[Counter[str] | None] = None  # of what was run
+    balancer_factory: ClassVar[BalancerFactory] = Balancer
+    statistics: ClassVar[Counter[str] | None] = None  # of what was run
     fleet: Fleet
 
     @initialize(
-        instances=st.integers(2, 30),
-        servers=st.integers(2, MOST_SERVERS),
-        work=st.sampled_from([0.3, 0.15, 0.05]),
-        busy=st.sampled_from([0.9, 1.0, 0.5, 1.3]),
+        instance_count=st.integers(2, 30),
+        server_count=st.integers(2, MAX_SERVERS),
+        work_per_call=st.sampled_from([0.3, 0.15, 0.05]),
+        initial_utilization=st.sampled_from([0.9, 1.0, 0.5, 1.3]),
         window=st.sampled_from([50.0, 4.0]),
         may_probe=st.booleans(),
         seed=st.integers(0, 9999),
@@ -35,10 +35,10 @@
     )
     def begin(
         self,
-        instances: int,
-        servers: int,
-        work: float,
-        busy: float,
+        instance_count: int,
+        server_count: int,
+        work_per_call: float,
+        initial_utilization: float,
         window: float,
         may_probe: bool,
         seed: int,
@@ -49,72 +49,76 @@
             "price_probe": 0.06, "reports": "probe" if may_probe else "none",
             "cold_from": 0.39, "cold_for": 8.1, "fall_multiple": 3.0, "fall_within": 2.0,
         }  # fmt: skip
-        self.fleet = Fleet(settings, instances, servers, work, seed, type(self).make)
-        self.fleet.busy = busy
+        self.fleet = Fleet(
+            settings, instance_count, server_count, work_per_call, seed, type(self).balancer_factory
+        )
+        self.fleet.utilization = initial_utilization
         for instance in self.fleet.instances:
             instance.admission.window = window
         self.fleet.run(warm_up)
 
-    def server(self, which: int) -> int:
-        return 1 + which % len(self.fleet.machines)
+    def server_at(self, which: int) -> int:
+        return 1 + which % len(self.fleet.servers)
 
-    @rule(span=st.sampled_from([0.5, 2.0, 4.0]))
-    def run(self, span: float) -> None:
-        self.fleet.run(span)
+    @rule(time_span=st.sampled_from([0.5, 2.0, 4.0]))
+    def run(self, time_span: float) -> None:
+        self.fleet.run(time_span)
 
-    @rule(which=st.integers(0, MOST_SERVERS - 1), more=st.integers(0, 2), gone=st.booleans())
-    def restart(self, which: int, more: int, gone: bool) -> None:
-        for other in range(more + 1):
-            server = self.server(which + other)
-            (self.fleet.drain_and_return if gone else self.fleet.restart)(server)
+    @rule(which=st.integers(0, MAX_SERVERS - 1), more_servers=st.integers(0, 2), list_as_gone=st.booleans())
+    def restart_server(self, which: int, more_servers: int, list_as_gone: bool) -> None:
+        for offset in range(more_servers + 1):
+            server = self.server_at(which + offset)
+            (self.fleet.remove_and_restart if list_as_gone else self.fleet.restart_server)(server)
         self.fleet.run(1.0)
 
-    @rule(busy=st.sampled_from([0.3, 0.7, 1.0, 1.5]))
-    def traffic(self, busy: float) -> None:
-        self.fleet.busy = busy
+    @rule(utilization=st.sampled_from([0.3, 0.7, 1.0, 1.5]))
+    def set_utilization(self, utilization: float) -> None:
+        self.fleet.utilization = utilization
 
     @rule(seed=st.integers(0, 99), skew=st.sampled_from([0.3, 1.0, 1.5]))
-    def spread(self, seed: int, skew: float) -> None:
-        self.fleet.spread(seed, skew)
+    def set_traffic_shares(self, seed: int, skew: float) -> None:
+        self.fleet.set_traffic_shares(seed, skew)
 
     @rule(
-        which=st.integers(0, MOST_SERVERS - 1),
+        which=st.integers(0, MAX_SERVERS - 1),
         status=st.sampled_from(
             [Status.OK, Status.ERROR, Status.FULL, Status.RESET, Status.CONNECT_FAILED, Status.TIMEOUT]
         ),
-        share=st.sampled_from([0.3, 0.9, 1.0]),
+        failure_share=st.sampled_from([0.3, 0.9, 1.0]),
     )
-    def fail(self, which: int, status: Status, share: float) -> None:
-        machine = self.fleet.machines[self.server(which)]
-        machine.status, machine.share = status, share
+    def fail_server(self, which: int, status: Status, failure_share: float) -> None:
+        simulated = self.fleet.servers[self.server_at(which)]
+        simulated.status, simulated.failure_share = status, failure_share
 
-    @rule(late=st.sampled_from([0.0, 0.3, 3.0]))
-    def lists_lag(self, late: float) -> None:
-        self.fleet.late = late
+    @rule(max_list_delay=st.sampled_from([0.0, 0.3, 3.0]))
+    def limit_list_delay(self, max_list_delay: float) -> None:
+        self.fleet.max_list_delay = max_list_delay
 
-    @rule(which=st.integers(0, MOST_SERVERS - 1))
-    def leave_out(self, which: int) -> None:
-        self.fleet.leave_out(self.server(which))
+    @rule(which=st.integers(0, MAX_SERVERS - 1))
+    def drop_from_list(self, which: int) -> None:
+        self.fleet.drop_from_list(self.server_at(which))
 
     @rule(kind=st.sampled_from([ListKind.FULL, ListKind.INCREMENTAL, ListKind.SAVED]))
-    def tell_again(self, kind: ListKind) -> None:
-        self.fleet.tell_all(list(self.fleet.machines), kind)
+    def send_list_again(self, kind: ListKind) -> None:
+        self.fleet.publish_list(list(self.fleet.servers), kind)
 
     @rule(which=st.integers(0, 29), count=st.integers(1, 3))
-    def renew(self, which: int, count: int) -> None:
-        for place in range(which, which + count):
-            self.fleet.renew(place % len(self.fleet.instances))
+    def restart_instance(self, which: int, count: int) -> None:
+        for position in range(which, which + count):
+            self.fleet.restart_instance(position % len(self.fleet.instances))
 
-    @rule(which=st.integers(0, 29), span=st.sampled_from([0.3, 1.0, 3.0]))
-    def stand_still(self, which: int, span: float) -> None:
-        self.fleet.stand_still(which % len(self.fleet.instances), span)
+    @rule(which=st.integers(0, 29), time_span=st.sampled_from([0.3, 1.0, 3.0]))
+    def stall(self, which: int, time_span: float) -> None:
+        self.fleet.stall(which % len(self.fleet.instances), time_span)
 
     def teardown(self) -> None:
-        if self.figures is None or not hasattr(self, "fleet"):
+        if self.statistics is None or not hasattr(self, "fleet"):
             return
-        starts = [*self.fleet.over, *self.fleet.starts.values()]
-        fullest = max((self.fleet.rule.fullest(start)[0] for start in starts), default=0.0)
-        sends = sum(len(start.sends) for start in starts)
-        self.figures.update({"examples": 1, "cold starts": len(starts), "attempts on cold servers": sends})
-        which = "% of a budget used at most"
-        self.figures[which] = max(self.figures[which], round(100 * fullest))
+        cold_starts = [*self.fleet.ended_starts, *self.fleet.cold_starts.values()]
+        max_usage = max((self.fleet.budget_rule.peak_usage(start)[0] for start in cold_starts), default=0.0)
+        sends = sum(len(start.sends) for start in cold_starts)
+        self.statistics.update(
+            {"examples": 1, "cold starts": len(cold_starts), "attempts on cold servers": sends}
+        )
+        label = "% of a budget used at most"
+        self.statistics[label] = max(self.statistics[label], round(100 * max_usage))
--- a/granitepoint/modelcheck/draw.py
+++ b/granitepoint/modelcheck/draw.py
@@ -8,14 +8,14 @@
 
 from granitepoint.interface import Effect, ListKind, RequestClass, ServerEntry, ServerState, Tenant
 
-NAMES = ("order", "pay", "read", "feed")
+CLASS_NAMES = ("order", "pay", "read", "feed")
 ZONES = ("a", "b", "c")
-SERVERS = 9  # at most, numbered from 1
-SPANS = (0.0, 0.001, 0.005, 0.01, 0.03, 0.05, 0.1, 0.3, 1.0, 2.5)  # s
+MAX_SERVERS = 9  # at most, numbered from 1
+DURATIONS = (0.0, 0.001, 0.005, 0.01, 0.03, 0.05, 0.1, 0.3, 1.0, 2.5)  # s
 
-classes = st.builds(
+request_classes = st.builds(
     RequestClass,
-    name=st.sampled_from(NAMES),
+    name=st.sampled_from(CLASS_NAMES),
     worth=st.sampled_from([0.0, 1.0, 6.0]),
     aim=st.sampled_from([1.2, 0.5, 0.05]),
     deadline=st.sampled_from([3.0, 1.0, 0.3]),
@@ -29,7 +29,7 @@
 # of Settings
 options = st.fixed_dictionaries(
     {
-        "classes": st.lists(classes, min_size=1, max_size=4, unique_by=lambda cls: cls.name),
+        "classes": st.lists(request_classes, min_size=1, max_size=4, unique_by=lambda cls: cls.name),
         "tenants": st.sampled_from([[], [Tenant("acme", 5.0, 0.4), Tenant("beta", 0.0, 0.1)]]),
         "zone": st.sampled_from(ZONES),
         "me": st.integers(0, 3),
@@ -60,25 +60,27 @@
 )
 
 
-def place(server: int) -> tuple[str, int]:
+def location(server: int) -> tuple[str, int]:
     """The zone and the cell of a server: two cells in each zone."""
     return ZONES[server % len(ZONES)], server // len(ZONES) % 2
 
 
-def entry(
+def server_entry(
     server: int, state: ServerState = ServerState.SERVING, started_at: float = 0.0, weight: float = 1.0
 ) -> ServerEntry:
-    zone, cell = place(server)
+    zone, cell = location(server)
     return ServerEntry(server, zone, "", cell, state, weight, started_at)
 
 
-Line = tuple[int, ServerState, bool, float]  # server, state, whether it has just started, weight
-lines = st.tuples(
-    st.integers(1, SERVERS),
+EntryParameters = tuple[int, ServerState, bool, float]  # server, state, whether it has just started, weight
+entry_parameters = st.tuples(
+    st.integers(1, MAX_SERVERS),
     st.sampled_from([ServerState.SERVING, ServerState.DRAINING, ServerState.GONE]),
     st.booleans(),
     st.sampled_from([0.0, 0.5, 1.0, 4.0]),
 )
-kinds = st.sampled_from([*[ListKind.FULL, ListKind.INCREMENTAL] * 2, ListKind.SAVED, ListKind.FAILED])
-figures = st.sampled_from([0.0, 1.0, 7.5, 40.0, 1e6, -1.0, math.inf])
-reports = st.one_of(st.none(), st.dictionaries(st.sampled_from(["busy_reqs", "pending", "odd"]), figures))
+list_kinds = st.sampled_from([*[ListKind.FULL, ListKind.INCREMENTAL] * 2, ListKind.SAVED, ListKind.FAILED])
+report_values = st.sampled_from([0.0, 1.0, 7.5, 40.0, 1e6, -1.0, math.inf])
+load_reports = st.one_of(
+    st.none(), st.dictionaries(st.sampled_from(["busy_reqs", "pending", "odd"]), report_values)
+)
--- a/granitepoint/modelcheck/endings.py
+++ b/granitepoint/modelcheck/endings.py
@@ -8,27 +8,27 @@
 import hypothesis.strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from granitepoint.modelcheck.proxy import BY_NAME, Backend, Client, Model, answer
+from granitepoint.modelcheck.proxy import CLASS_BY_NAME, Backend, Client, ProxyModel, build_answer
 
-GARBAGE = {
+MALFORMED_INPUTS = {
     "no HTTP": b"\x00garbage\r\n\r\n",
     "no class": b"GET / HTTP/1.1\r\n\r\n",
     "endless header": b"GET /read HTTP/1.1\r\nX: " + b"a" * 40000,
     "blank line": b"\r\n",
 }
-AFTER = [0.0, 0.001, 0.0015, 0.004, 0.02, 0.3]
-SPANS = [0.0, 0.001, 0.003, 0.05, 0.3, 1.0, 3.5]
+DELAYS = [0.0, 0.001, 0.0015, 0.004, 0.02, 0.3]
+DURATIONS = [0.0, 0.001, 0.003, 0.05, 0.3, 1.0, 3.5]
 
 
-class Endings(RuleBasedStateMachine):
-    model: Model
-    checked: ClassVar[type[Model]] = Model
-    figures: ClassVar[Counter[str] | None] = None  # of what was run
+class ConnectionMachine(RuleBasedStateMachine):
+    model: ProxyModel
+    model_class: ClassVar[type[ProxyModel]] = ProxyModel
+    statistics: ClassVar[Counter[str] | None] = None  # of what was run
 
     @initialize(
         seed=st.integers(0, 99),
-        backends=st.integers(1, 4),
-        sockets=st.sampled_from([256, 64]),
+        backend_count=st.integers(1, 4),
+        socket_limit=st.sampled_from([256, 64]),
         may_probe=st.booleans(),
         may_cancel=st.booleans(),
         conn_idle=st.sampled_from([0.4, 0.4, 5.0]),
@@ -37,138 +37,148 @@
     def begin(
         self,
         seed: int,
-        backends: int,
-        sockets: int,
+        backend_count: int,
+        socket_limit: int,
         may_probe: bool,
         may_cancel: bool,
         conn_idle: float,
         max_attempts: int,
     ) -> None:
-        self.model = type(self).checked(
-            seed, backends, sockets, may_probe=may_probe, conn_idle=conn_idle, max_attempts=max_attempts,
+        self.model = type(self).model_class(
+            seed, backend_count, socket_limit, may_probe=may_probe, conn_idle=conn_idle, max_attempts=max_attempts,
             may_cancel=may_cancel, cold_for=0.0, price_probe=0.06,
         )  # fmt: skip
-        self.broken = False
+        self.failed = False
 
     def client_at(self, which: int) -> Client | None:
-        clients = [c for c in self.model.clients if not c.over and c.left_at is None]
+        clients = [c for c in self.model.clients if not c.closed and c.disconnected_at is None]
         return clients[which % len(clients)] if clients else None
 
     @rule(
         which=st.integers(0, 9),
-        new=st.booleans(),
-        names=st.lists(st.sampled_from(sorted(BY_NAME)), min_size=1, max_size=3),
+        new_connection=st.booleans(),
+        names=st.lists(st.sampled_from(sorted(CLASS_BY_NAME)), min_size=1, max_size=3),
         budget=st.sampled_from([2.0, 1.0, 0.25, 0.05]),
-        last=st.booleans(),
-        cut=st.sampled_from([0, 0, 0, 1, 3, 30]),
-        crossing=st.booleans(),
-        span=st.sampled_from([0.01, -1.0, 0.0, 0.002, 0.1]),
+        last_closes=st.booleans(),
+        cut_bytes=st.sampled_from([0, 0, 0, 1, 3, 30]),
+        cross_next_answer=st.booleans(),
+        time_span=st.sampled_from([0.01, -1.0, 0.0, 0.002, 0.1]),
     )
-    def ask(
+    def send_requests(
         self,
         which: int,
-        new: bool,
+        new_connection: bool,
         names: list[str],
         budget: float,
-        last: bool,
-        cut: int,
-        crossing: bool,
-        span: float,
+        last_closes: bool,
+        cut_bytes: int,
+        cross_next_answer: bool,
+        time_span: float,
     ) -> None:
         """Requests on one connection, one behind the other; the end of the last may be still to come, and a
         further one may cross the next answer."""
-        client = None if new else self.client_at(which)
+        client = None if new_connection else self.client_at(which)
         if client is None:
-            client = self.model.client()
-        if client is None or not client.may_ask:
+            client = self.model.connect_client()
+        if client is None or not client.can_send_request:
             return
-        parts = [
-            self.model.request(client, BY_NAME[name], budget, last and place == len(names) - 1)
-            for place, name in enumerate(names)
+        messages = [
+            self.model.create_request(
+                client, CLASS_BY_NAME[name], budget, last_closes and position == len(names) - 1
+            )
+            for position, name in enumerate(names)
         ]
-        client.last, client.crossing = last, crossing
-        for place in range(1, len(parts)):
-            for asked in client.asked[-len(parts) + place :]:
-                asked.ends_at += len(parts[place - 1])
-        data = b"".join(parts)
-        if cut and not last:
-            client.half, data = data[-cut:], data[:-cut]
+        client.close_requested, client.request_on_answer = last_closes, cross_next_answer
+        for position in range(1, len(messages)):
+            for request in client.requests[-len(messages) + position :]:
+                request.end_offset += len(messages[position - 1])
+        data = b"".join(messages)
+        if cut_bytes and not last_closes:
+            client.unsent_rest, data = data[-cut_bytes:], data[:-cut_bytes]
         client.send(data)
-        if last:
-            client.asked[-1].ends_at = client.sent
-        self.run(span)
+        if last_closes:
+            client.requests[-1].end_offset = client.bytes_sent
+        self.run(time_span)
 
-    @rule(count=st.integers(2, 8), name=st.sampled_from(sorted(BY_NAME)), span=st.sampled_from([0.01, 0.0]))
-    def ask_many(self, count: int, name: str, span: float) -> None:
+    @rule(
+        count=st.integers(2, 8),
+        name=st.sampled_from(sorted(CLASS_BY_NAME)),
+        time_span=st.sampled_from([0.01, 0.0]),
+    )
+    def connect_and_request(self, count: int, name: str, time_span: float) -> None:
         for _ in range(count):
-            client = self.model.client()
+            client = self.model.connect_client()
             if client is not None:
-                client.send(self.model.request(client, BY_NAME[name], 2.0))
-        self.run(span)
+                client.send(self.model.create_request(client, CLASS_BY_NAME[name], 2.0))
+        self.run(time_span)
 
-    @rule(which=st.integers(0, 9), how=st.sampled_from(["", "close", "reset"]), span=st.sampled_from(SPANS))
-    def ask_much_and_go(self, which: int, how: str, span: float) -> None:
+    @rule(
+        which=st.integers(0, 9),
+        how=st.sampled_from(["", "close", "reset"]),
+        time_span=st.sampled_from(DURATIONS),
+    )
+    def flood_and_disconnect(self, which: int, how: str, time_span: float) -> None:
         """More than is read ahead of the answers, so that the end lies behind what is unread."""
         client = self.client_at(which)
-        if client is None or not client.may_ask:
+        if client is None or not client.can_send_request:
             return
         for _ in range(250):
-            client.send(self.model.request(client, BY_NAME["read"], 1.0))
+            client.send(self.model.create_request(client, CLASS_BY_NAME["read"], 1.0))
         self.run(0.0)
         if how:
-            client.leave(how)
-        self.run(span)
+            client.disconnect(how)
+        self.run(time_span)
 
     @rule(which=st.integers(0, 9))
-    def ask_when_answered(self, which: int) -> None:
+    def request_at_next_answer(self, which: int) -> None:
         client = self.client_at(which)
-        if client is not None and client.good and not client.half:
-            client.crossing = True
+        if client is not None and client.input_valid and not client.unsent_rest:
+            client.request_on_answer = True
 
-    @rule(which=st.integers(0, 9), heard=st.booleans())
-    def ask_the_rest(self, which: int, heard: bool) -> None:
+    @rule(which=st.integers(0, 9), handle_now=st.booleans())
+    def send_rest(self, which: int, handle_now: bool) -> None:
         client = self.client_at(which)
-        if client is not None and client.half:
-            half, client.half = client.half, b""
-            client.send(half)
-            if heard:
+        if client is not None and client.unsent_rest:
+            unsent_rest, client.unsent_rest = client.unsent_rest, b""
+            client.send(unsent_rest)
+            if handle_now:
                 self.run(0.0)
 
-    @rule(which=st.integers(0, 9), what=st.sampled_from(sorted(GARBAGE)))
-    def ask_garbage(self, which: int, what: str) -> None:
-        client = self.client_at(which) or self.model.client()
+    @rule(which=st.integers(0, 9), kind=st.sampled_from(sorted(MALFORMED_INPUTS)))
+    def send_malformed(self, which: int, kind: str) -> None:
+        client = self.client_at(which) or self.model.connect_client()
         if client is not None:
-            client.good = False
-            client.send(GARBAGE[what])
+            client.input_valid = False
+            client.send(MALFORMED_INPUTS[kind])
             self.run(0.0)
 
     @rule(
         which=st.integers(0, 9),
         how=st.sampled_from(["close", "reset"]),
-        after=st.sampled_from(AFTER),
-        span=st.sampled_from(SPANS),
+        delay=st.sampled_from(DELAYS),
+        time_span=st.sampled_from(DURATIONS),
     )
-    def leave(self, which: int, how: str, after: float, span: float) -> None:
+    def client_disconnects(self, which: int, how: str, delay: float, time_span: float) -> None:
         client = self.client_at(which)
         if client is not None:
-            self.model.clock.at(after, lambda: client.leave(how))
-            self.run(span)
+            self.model.clock.schedule(delay, lambda: client.disconnect(how))
+            self.run(time_span)
 
-    @rule(which=st.integers(0, 9), taking=st.booleans())
-    def take(self, which: int, taking: bool) -> None:
+    @rule(which=st.integers(0, 9), reading=st.booleans())
+    def switch_reading(self, which: int, reading: bool) -> None:
         client = self.client_at(which)
         if client is not None:
-            client.slow = True
-            self.model.call(lambda: client.link.peer_takes(taking))
+            client.stopped_reading = True
+            self.model.run_callback(lambda: client.link.peer_reads(reading))
 
-    @precondition(lambda self: any(backend.runs for backend in self.model.backends))
+    @precondition(lambda self: any(backend.running_id for backend in self.model.backend_connections))
     @rule(
         which=st.integers(0, 9),
-        what=st.sampled_from(
+        variant=st.sampled_from(
             [
                 "ok",
                 "error",
-                "turned away",
+                "rejected",
                 "ok and more",
                 "twice",
                 "half",
@@ -178,54 +188,54 @@
             ]
         ),
         then=st.sampled_from(["", "close", "reset"]),
-        after=st.sampled_from(AFTER),
-        heard=st.booleans(),
+        delay=st.sampled_from(DELAYS),
+        handle_now=st.booleans(),
     )
-    def backend_answers(self, which: int, what: str, then: str, after: float, heard: bool) -> None:
-        running = [backend for backend in self.model.backends if backend.runs]
-        backend, id = running[which % len(running)], running[which % len(running)].runs
-        self.model.clock.at(after, lambda: self.reply(backend, id, what, then))
-        if heard:
+    def backend_answers(self, which: int, variant: str, then: str, delay: float, handle_now: bool) -> None:
+        running = [backend for backend in self.model.backend_connections if backend.running_id]
+        backend, request_id = running[which % len(running)], running[which % len(running)].running_id
+        self.model.clock.schedule(delay, lambda: self.reply(backend, request_id, variant, then))
+        if handle_now:
             self.run(0.0)
 
-    def reply(self, backend: Backend, id: str | None, what: str, then: str) -> None:
-        if id is None or backend.runs != id:
+    def reply(self, backend: Backend, request_id: str | None, variant: str, then: str) -> None:
+        if request_id is None or backend.running_id != request_id:
             return
-        body = f"done {id}".encode()
-        self.model.served.setdefault(id, set()).add(body)
-        ok = answer(200, body)
-        if what == "turned away":
-            self.model.turned_away(backend)
-        backend.answer({
-            "ok": ok, "error": answer(500, b"no"), "turned away": answer(503, b"", "X-Rejected: 1"),
+        body = f"done {request_id}".encode()
+        self.model.served_bodies.setdefault(request_id, set()).add(body)
+        ok = build_answer(200, body)
+        if variant == "rejected":
+            self.model.on_attempts_rejected(backend)
+        backend.send_answer({
+            "ok": ok, "error": build_answer(500, b"no"), "rejected": build_answer(503, b"", "X-Rejected: 1"),
             "ok and more": ok + b"x", "twice": ok + ok, "half": ok[:-3], "garbage": b"\x00\x01\r\n\r\n",
             "until close": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
-            "ok, close": answer(200, body, "Connection: close"),
-        }[what])  # fmt: skip
+            "ok, close": build_answer(200, body, "Connection: close"),
+        }[variant])  # fmt: skip
         if then == "close":
             backend.link.peer_closes()
-        elif then == "reset" and what != "turned away":
+        elif then == "reset" and variant != "rejected":
             backend.link.peer_resets()
 
-    @rule(after=st.sampled_from(AFTER), span=st.sampled_from([0.002, 0.02, 0.3]))
-    def stand_still_soon(self, after: float, span: float) -> None:
-        self.model.still += span
-        self.model.loop.call_later(after, self.model.loop.stand_still, span)
+    @rule(delay=st.sampled_from(DELAYS), time_span=st.sampled_from([0.002, 0.02, 0.3]))
+    def stall_later(self, delay: float, time_span: float) -> None:
+        self.model.stall_time += time_span
+        self.model.loop.call_later(delay, self.model.loop.stall, time_span)
 
-    @precondition(lambda self: self.model.backends)
+    @precondition(lambda self: self.model.backend_connections)
     @rule(
         which=st.integers(0, 9),
-        how=st.sampled_from(["close", "end", "reset", "speak", "stop taking", "take"]),
-        after=st.sampled_from(AFTER),
-        heard=st.booleans(),
+        how=st.sampled_from(["close", "end", "reset", "send early", "stop reading", "read"]),
+        delay=st.sampled_from(DELAYS),
+        handle_now=st.booleans(),
     )
-    def backend_acts(self, which: int, how: str, after: float, heard: bool) -> None:
-        backend = self.model.backends[which % len(self.model.backends)]
-        self.model.clock.at(after, lambda: self.act(backend, how))
-        if heard:
+    def backend_acts(self, which: int, how: str, delay: float, handle_now: bool) -> None:
+        backend = self.model.backend_connections[which % len(self.model.backend_connections)]
+        self.model.clock.schedule(delay, lambda: self.perform(backend, how))
+        if handle_now:
             self.run(0.0)
 
-    def act(self, backend: Backend, how: str) -> None:
+    def perform(self, backend: Backend, how: str) -> None:
         link = backend.link
         if how == "close":
             link.peer_closes()
@@ -233,75 +243,79 @@
             link.peer_ends()
         elif how == "reset":
             link.peer_resets()
-        elif how == "speak":
-            link.peer_sends(answer(200, b"early"))
+        elif how == "send early":
+            link.peer_sends(build_answer(200, b"early"))
             exchange = link.protocol.exchange
             if exchange is not None and exchange.sent:  # nobody can tell it from an answer
-                self.model.served.setdefault(backend.id, set()).add(b"early")
+                self.model.served_bodies.setdefault(backend.request_id, set()).add(b"early")
         else:
-            self.model.loop.call_soon(link.peer_takes, how == "take")
+            self.model.loop.call_soon(link.peer_reads, how == "read")
 
     @rule(how=st.sampled_from(["at once", "at once", "late", "never", "refused"]))
-    def connects(self, how: str) -> None:
-        self.model.how_to_connect = how
+    def set_connect_mode(self, how: str) -> None:
+        self.model.connect_mode = how
 
     @rule(
         number=st.integers(1, 4),
         state=st.sampled_from(["Ready", "Ready", "Ready", "Terminating", "Gone"]),
-        whole=st.booleans(),
+        whole_list=st.booleans(),
     )
-    def list_changes(self, number: int, state: str, whole: bool) -> None:
-        if number in self.model.states:
-            self.guard(lambda: self.model.tell(number, state, whole))
+    def list_changes(self, number: int, state: str, whole_list: bool) -> None:
+        if number in self.model.backend_states:
+            self.guard(lambda: self.model.publish_state(number, state, whole_list))
 
-    @rule(after=st.sampled_from([0.0, 0.03, 0.2]), rounds=st.integers(1, 3))
-    def serve(self, after: float, rounds: int) -> None:
+    @rule(delay=st.sampled_from([0.0, 0.03, 0.2]), rounds=st.integers(1, 3))
+    def serve(self, delay: float, rounds: int) -> None:
         """All that backends have is served."""
         for _ in range(rounds):
-            self.run(after)
-            for backend in self.model.backends:
-                if backend.runs:
-                    self.reply(backend, backend.runs, "ok", "")
+            self.run(delay)
+            for backend in self.model.backend_connections:
+                if backend.running_id:
+                    self.reply(backend, backend.running_id, "ok", "")
         self.run(0.003)
 
-    @rule(span=st.sampled_from(SPANS))
-    def wait(self, span: float) -> None:
-        self.run(span)
+    @rule(time_span=st.sampled_from(DURATIONS))
+    def wait(self, time_span: float) -> None:
+        self.run(time_span)
 
-    @rule(span=st.sampled_from([0.02, 0.3, 1.0]))
-    def stand_still(self, span: float) -> None:
-        self.model.still += span
-        self.model.loop.stand_still(span)
+    @rule(time_span=st.sampled_from([0.02, 0.3, 1.0]))
+    def stall(self, time_span: float) -> None:
+        self.model.stall_time += time_span
+        self.model.loop.stall(time_span)
         self.run(0.0)
 
-    @precondition(lambda self: self.model.ending is None)
-    @rule(sure=st.integers(0, 2))
-    def term(self, sure: int) -> None:
-        if sure == 2:
-            self.model.term()
+    @precondition(lambda self: self.model.shutdown_task is None)
+    @rule(one_in_three=st.integers(0, 2))
+    def terminate(self, one_in_three: int) -> None:
+        if one_in_three == 2:
+            self.model.terminate()
             self.run(0.0)
 
-    def run(self, span: float) -> None:
+    def run(self, time_span: float) -> None:
         """With a span below 0 nothing is heard yet: it comes together with what the next rule does."""
-        if span >= 0:
-            self.guard(lambda: self.model.run(span))
+        if time_span >= 0:
+            self.guard(lambda: self.model.run(time_span))
 
-    def guard(self, do: Any) -> None:
+    def guard(self, operation: Any) -> None:
         try:
-            do()
+            operation()
         except BaseException:
-            self.broken = True
+            self.failed = True
             raise
 
     def teardown(self) -> None:
         if not hasattr(self, "model"):
             return
         try:
-            if not self.broken:
+            if not self.failed:
                 self.model.finish()
-            if self.figures is not None:
-                attempts = sum(len(ran) for ran in self.model.whole.values())
-                ran = {"examples": 1, "connections": len(self.model.clients), "requests": self.model.ids}
-                self.figures.update({**ran, "attempts": attempts})
+            if self.statistics is not None:
+                attempts = sum(len(received) for received in self.model.received_attempts.values())
+                totals = {
+                    "examples": 1,
+                    "connections": len(self.model.clients),
+                    "requests": self.model.request_count,
+                }
+                self.statistics.update({**totals, "attempts": attempts})
         finally:
-            self.model.stop()
+            self.model.close()
--- a/granitepoint/modelcheck/fleet.py
+++ b/granitepoint/modelcheck/fleet.py
@@ -29,29 +29,29 @@
     Status,
     Timer,
 )
-from granitepoint.modelcheck.world import Make, RuleBroken
+from granitepoint.modelcheck.world import BalancerFactory, RuleViolation
 
-CONNECT = 0.005  # s of a failure at once
-LISTED_LATE = 0.3  # s until the last instance was told, unless lists are late
+IMMEDIATE_FAILURE_TIME = 0.005  # s of a failure at once
+DEFAULT_MAX_LIST_DELAY = 0.3  # s until the last instance was told, unless lists are late
 
 
 @dataclass(slots=True)
-class Start:
+class ColdStart:
     """A server's cold start, and what it was sent since: when, and whether by one that was told of it."""
 
     server: int
-    at: float
+    started_at: float
     sends: list[tuple[float, bool]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Machine:
+class SimulatedServer:
     """A server as it is. `status` and `share`: how it fails, and what share of its calls."""
 
     started_at: float = 0.0
-    ends: list[float] = field(default_factory=list)  # of what it holds, in the order of its end
+    completion_times: list[float] = field(default_factory=list)  # of what it holds, in the order of its end
     status: Status = Status.OK
-    share: float = 0.0
+    failure_share: float = 0.0
 
 
 class ColdBudget:
@@ -60,225 +60,270 @@
 
     name = "cold"
 
-    def __init__(self, settings: Settings, work: float) -> None:
-        self.settings, self.work = settings, work
+    def __init__(self, settings: Settings, work_per_call: float) -> None:
+        self.settings, self.work_per_call = settings, work_per_call
 
-    def allowed(self, age: float) -> float:
+    def allowed_calls(self, age: float) -> float:
         """Calls within `settings.fall_within` s, for a server that started `age` s ago."""
         settings = self.settings
-        warmth = min(1.0, age / settings.cold_for) if settings.cold_for else 1.0
-        capacity = settings.cold_from + (1 - settings.cold_from) * warmth
-        n = settings.fall_multiple * capacity * settings.fall_within / self.work
+        warm_up_progress = min(1.0, age / settings.cold_for) if settings.cold_for else 1.0
+        capacity = settings.cold_from + (1 - settings.cold_from) * warm_up_progress
+        n = settings.fall_multiple * capacity * settings.fall_within / self.work_per_call
         return n + 2 * math.sqrt(n) + 2
 
-    def fullest(self, start: Start) -> tuple[float, float]:
-        """The largest share of what was allowed, and the age of the server at which that span began."""
-        worst, at, last = 0.0, 0.0, 0
-        within, warm_at = self.settings.fall_within, start.at + self.settings.cold_for
+    def peak_usage(self, start: ColdStart) -> tuple[float, float]:
+        """Returns the largest used fraction of the budget, and the server's age at the start of that window.
+
+        Only windows in which more than two thirds of the sends came from notified instances count.
+        """
+        max_usage, age_at_max, end_index = 0.0, 0.0, 0
+        window, warm_at = self.settings.fall_within, start.started_at + self.settings.cold_for
         sends = [send for send in start.sends if send[0] < warm_at]
-        for first, (begin, _) in enumerate(sends):
-            age = begin - start.at
-            while last < len(sends) and sends[last][0] < begin + within:
-                last += 1
-            told = sum(1 for _, told in sends[first:last] if told)
-            share = (last - first) / self.allowed(age)
-            if share > worst and told > (last - first) * 2 / 3:
-                worst, at = share, age
-        return worst, at
-
-    def check(self, start: Start) -> None:
-        share, age = self.fullest(start)
-        if share > 1:
-            text = f"server {start.server} got {share:.2f} of what it may get, {age:.3f} s after its start"
-            raise RuleBroken(self.name, text)
+        for start_index, (window_start, _) in enumerate(sends):
+            age = window_start - start.started_at
+            while end_index < len(sends) and sends[end_index][0] < window_start + window:
+                end_index += 1
+            notified = sum(1 for _, notified in sends[start_index:end_index] if notified)
+            usage = (end_index - start_index) / self.allowed_calls(age)
+            if usage > max_usage and notified > (end_index - start_index) * 2 / 3:
+                max_usage, age_at_max = usage, age
+        return max_usage, age_at_max
+
+    def check(self, start: ColdStart) -> None:
+        """Raises RuleViolation if a cold start used more than its budget."""
+        usage, age = self.peak_usage(start)
+        if usage > 1:
+            text = f"server {start.server} got {usage:.2f} times its budget, {age:.3f} s after its start"
+            raise RuleViolation(self.name, text)
 
 
 class Fleet:
     """Instances, servers and clients on one clock; `work` is a call's mean work in s of one server."""
 
     def __init__(
-        self, settings: dict[str, object], instances: int, servers: int, work: float, seed: int, make: Make
+        self,
+        settings: dict[str, object],
+        instances: int,
+        servers: int,
+        work_per_call: float,
+        seed: int,
+        balancer_factory: BalancerFactory,
     ) -> None:
-        self.chance = Random(seed)
-        self.order = count()
-        self.ids = count(1)
-        self.work, self.make, self.seed = work, make, seed
-        deadline = max(3.0, 10 * work)
+        self.rng = Random(seed)
+        self.event_order = count()
+        self.call_ids = count(1)
+        self.work_per_call, self.balancer_factory, self.seed = work_per_call, balancer_factory, seed
+        deadline = max(3.0, 10 * work_per_call)
         cls = RequestClass("call", 1.0, deadline * 0.4, deadline, 0.5, Effect.REPEATABLE)
         self.all_settings = [
-            Settings([cls], me=me, balancers=instances, zone="a", **settings)  # type: ignore[arg-type]
-            for me in range(instances)
+            Settings([cls], me=instance, balancers=instances, zone="a", **settings)  # type: ignore[arg-type]
+            for instance in range(instances)
         ]
-        self.rule = ColdBudget(self.all_settings[0], work)
-        self.machines = {server: Machine() for server in range(1, servers + 1)}
+        self.budget_rule = ColdBudget(self.all_settings[0], work_per_call)
+        self.servers = {server: SimulatedServer() for server in range(1, servers + 1)}
         self.now = 100.0
-        self.busy = 0.5  # of what all servers can do
-        self.weights = [1.0] * instances
-        self.late = LISTED_LATE  # s by which lists may lag
-        self.instances = [self.make(setup, seed * 1000 + setup.me) for setup in self.all_settings]
-        self.lives = [0] * instances  # what is on its way to a former life is dropped
-        self.still_until = [0.0] * instances
-        self.told: list[dict[int, float]] = [{} for _ in range(instances)]  # the starts that it knows of
-        self.attempts: list[dict[tuple[int, int], int]] = [{} for _ in range(instances)]  # out, with server
-        self.sent: list[dict[int, int]] = [{} for _ in range(instances)]  # attempts of each call so far
-        self.starts: dict[int, Start] = {}
-        self.over: list[Start] = []
-        self.due: list[tuple[float, int, int, int, Callable[[], Event | None]]] = []
-        for me in range(instances):
-            self.begin(me)
-        self.next_arrival = self.now + self.gap()
+        self.utilization = 0.5  # of what all servers can do
+        self.traffic_weights = [1.0] * instances
+        self.max_list_delay = DEFAULT_MAX_LIST_DELAY  # s by which lists may lag
+        self.instances = [
+            self.balancer_factory(instance_settings, seed * 1000 + instance_settings.me)
+            for instance_settings in self.all_settings
+        ]
+        self.generations = [0] * instances  # what is on its way to a former life is dropped
+        self.stalled_until = [0.0] * instances
+        self.known_starts: list[dict[int, float]] = [
+            {} for _ in range(instances)
+        ]  # the starts that it knows of
+        self.attempts_in_flight: list[dict[tuple[int, int], int]] = [
+            {} for _ in range(instances)
+        ]  # out, with server
+        self.attempts_sent: list[dict[int, int]] = [
+            {} for _ in range(instances)
+        ]  # attempts of each call so far
+        self.cold_starts: dict[int, ColdStart] = {}
+        self.ended_starts: list[ColdStart] = []
+        self.event_queue: list[tuple[float, int, int, int, Callable[[], Event | None]]] = []
+        for instance in range(instances):
+            self.start_instance(instance)
+        self.next_arrival = self.now + self.interarrival_time()
 
     # what happens
-    def begin(self, me: int) -> None:
-        self.later(0.0, me, partial(self.listing, me, ListKind.SAVED, list(self.machines)))
+    def start_instance(self, instance: int) -> None:
+        self.schedule(0.0, instance, partial(self.server_list, instance, ListKind.SAVED, list(self.servers)))
 
-    def entry(self, server: int) -> ServerEntry:
-        return ServerEntry(server, zone="a", started_at=self.machines[server].started_at)
+    def server_entry(self, server: int) -> ServerEntry:
+        return ServerEntry(server, zone="a", started_at=self.servers[server].started_at)
 
-    def listing(self, me: int, kind: ListKind, servers: list[int]) -> Event:
+    def server_list(self, instance: int, kind: ListKind, servers: list[int]) -> Event:
         """As it is when it is told: lists come in their order, so none brings back an older state."""
-        entries = [self.entry(server) for server in servers]
+        entries = [self.server_entry(server) for server in servers]
         for entry in entries:
-            self.told[me][entry.server] = max(entry.started_at, self.told[me].get(entry.server, 0.0))
+            self.known_starts[instance][entry.server] = max(
+                entry.started_at, self.known_starts[instance].get(entry.server, 0.0)
+            )
         return ServerList(kind, entries)
 
-    def restart(self, server: int) -> None:
+    def restart_server(self, server: int) -> None:
         """The process dies and another one starts in its place; all are told, each somewhat later."""
-        machine = self.machines[server]
-        machine.started_at, machine.ends = self.now, []
-        if server in self.starts:
-            self.over.append(self.starts.pop(server))
-        self.starts[server] = Start(server, self.now)
-        self.tell_all([server])
-
-    def tell_all(self, servers: list[int], kind: ListKind = ListKind.INCREMENTAL) -> None:
-        for me in range(len(self.instances)):
-            self.later(self.late * self.chance.random(), me, partial(self.listing, me, kind, servers))
-
-    def leave_out(self, server: int) -> None:
+        simulated = self.servers[server]
+        simulated.started_at, simulated.completion_times = self.now, []
+        if server in self.cold_starts:
+            self.ended_starts.append(self.cold_starts.pop(server))
+        self.cold_starts[server] = ColdStart(server, self.now)
+        self.publish_list([server])
+
+    def publish_list(self, servers: list[int], kind: ListKind = ListKind.INCREMENTAL) -> None:
+        for instance in range(len(self.instances)):
+            self.schedule(
+                self.max_list_delay * self.rng.random(),
+                instance,
+                partial(self.server_list, instance, kind, servers),
+            )
+
+    def drop_from_list(self, server: int) -> None:
         """A whole list without a server, and soon after one with it."""
-        others = [other for other in self.machines if other != server]
-        for me in range(len(self.instances)):
-            self.later(0.01, me, partial(self.listing, me, ListKind.FULL, others))
-            self.later(0.2, me, partial(self.listing, me, ListKind.FULL, [*others, server]))
-
-    def drain_and_return(self, server: int) -> None:
-        gone = [ServerEntry(server, zone="a", state=ServerState.GONE)]
-        for me in range(len(self.instances)):
-            self.later(0.0, me, lambda: ServerList(ListKind.INCREMENTAL, gone))
-        self.restart(server)
-
-    def renew(self, me: int) -> None:
+        others = [other for other in self.servers if other != server]
+        for instance in range(len(self.instances)):
+            self.schedule(0.01, instance, partial(self.server_list, instance, ListKind.FULL, others))
+            self.schedule(
+                0.2, instance, partial(self.server_list, instance, ListKind.FULL, [*others, server])
+            )
+
+    def remove_and_restart(self, server: int) -> None:
+        removed = [ServerEntry(server, zone="a", state=ServerState.GONE)]
+        for instance in range(len(self.instances)):
+            self.schedule(0.0, instance, lambda: ServerList(ListKind.INCREMENTAL, removed))
+        self.restart_server(server)
+
+    def restart_instance(self, instance: int) -> None:
         """The instance's process ends, and another one takes its place."""
-        self.lives[me] += 1
-        self.instances[me] = self.make(self.all_settings[me], self.chance.randrange(1 << 30))
-        self.told[me], self.attempts[me], self.sent[me] = {}, {}, {}
-        self.begin(me)
-
-    def spread(self, seed: int, skew: float) -> None:
+        self.generations[instance] += 1
+        self.instances[instance] = self.balancer_factory(
+            self.all_settings[instance], self.rng.randrange(1 << 30)
+        )
+        self.known_starts[instance], self.attempts_in_flight[instance], self.attempts_sent[instance] = (
+            {},
+            {},
+            {},
+        )
+        self.start_instance(instance)
+
+    def set_traffic_shares(self, seed: int, skew: float) -> None:
         """Traffic moves between the instances; with more skew some get several times the mean."""
-        chance = Random(seed)
-        self.weights = [chance.expovariate(1) ** skew + 0.01 for _ in self.weights]
+        rng = Random(seed)
+        self.traffic_weights = [rng.expovariate(1) ** skew + 0.01 for _ in self.traffic_weights]
 
-    def stand_still(self, me: int, span: float) -> None:
-        self.still_until[me] = self.now + span
+    def stall(self, instance: int, time_span: float) -> None:
+        self.stalled_until[instance] = self.now + time_span
 
     # one clock for all
-    def later(self, delay: float, me: int, event: Callable[[], Event | None]) -> None:
-        heapq.heappush(self.due, (self.now + delay, next(self.order), me, self.lives[me], event))
-
-    def run(self, span: float) -> None:
-        end = self.now + span
+    def schedule(self, delay: float, instance: int, make_event: Callable[[], Event | None]) -> None:
+        heapq.heappush(
+            self.event_queue,
+            (self.now + delay, next(self.event_order), instance, self.generations[instance], make_event),
+        )
+
+    def run(self, time_span: float) -> None:
+        end = self.now + time_span
         while True:
-            at = self.due[0][0] if self.due else math.inf
+            at = self.event_queue[0][0] if self.event_queue else math.inf
             if self.next_arrival <= min(at, end):
-                self.arrive()
+                self.add_arrival()
                 continue
             if at > end:
                 break
-            at, _, me, life, event = heapq.heappop(self.due)
-            if life != self.lives[me]:
+            at, _, instance, generation, make_event = heapq.heappop(self.event_queue)
+            if generation != self.generations[instance]:
                 continue
-            if at < self.still_until[me]:
-                heapq.heappush(self.due, (self.still_until[me], next(self.order), me, life, event))
+            if at < self.stalled_until[instance]:
+                heapq.heappush(
+                    self.event_queue,
+                    (self.stalled_until[instance], next(self.event_order), instance, generation, make_event),
+                )
                 continue
             self.now = max(self.now, at)
-            happened = event()
-            if happened is not None:
-                self.turn(me, happened)
+            event = make_event()
+            if event is not None:
+                self.deliver(instance, event)
         self.now = end
-        for start in self.starts.values():
-            self.rule.check(start)
+        for start in self.cold_starts.values():
+            self.budget_rule.check(start)
 
-    def turn(self, me: int, event: Event) -> None:
-        for action in self.instances[me].handle(self.now, [event]):
+    def deliver(self, instance: int, event: Event) -> None:
+        for action in self.instances[instance].handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                self.later(action.delay, me, partial(Timer, action.token))
+                self.schedule(action.delay, instance, partial(Timer, action.token))
             elif isinstance(action, Probe):
-                self.probe(me, action.server)
+                self.answer_probe(instance, action.server)
             elif isinstance(action, Send):
-                self.send(me, action)
+                self.execute_send(instance, action)
             elif isinstance(action, Cancel):
-                self.end(me, action.call, action.attempt, Status.CANCELLED, 0.0)
+                self.schedule_outcome(instance, action.call, action.attempt, Status.CANCELLED, 0.0)
 
-    def gap(self) -> float:
-        return self.chance.expovariate(self.busy / self.work * len(self.machines))
+    def interarrival_time(self) -> float:
+        return self.rng.expovariate(self.utilization / self.work_per_call * len(self.servers))
 
-    def arrive(self) -> None:
+    def add_arrival(self) -> None:
         """The next request of all, at an instance by the share of each."""
         self.now = self.next_arrival
-        self.next_arrival += self.gap()
-        (me,) = self.chance.choices(range(len(self.weights)), self.weights)
-        arrival = Arrival(next(self.ids), "call", self.all_settings[me].classes[0].deadline)
-        self.later(0.0, me, lambda: arrival)
+        self.next_arrival += self.interarrival_time()
+        (instance,) = self.rng.choices(range(len(self.traffic_weights)), self.traffic_weights)
+        arrival = Arrival(next(self.call_ids), "call", self.all_settings[instance].classes[0].deadline)
+        self.schedule(0.0, instance, lambda: arrival)
 
     # servers
-    def warmth(self, server: int) -> float:
+    def capacity_share(self, server: int) -> float:
         settings = self.all_settings[0]
-        age = self.now - self.machines[server].started_at
-        if not self.machines[server].started_at or age >= settings.cold_for:
+        age = self.now - self.servers[server].started_at
+        if not self.servers[server].started_at or age >= settings.cold_for:
             return 1.0
         return settings.cold_from + (1 - settings.cold_from) * age / settings.cold_for
 
-    def holds(self, server: int) -> int:
-        machine = self.machines[server]
-        machine.ends = [end for end in machine.ends if end > self.now]
-        return len(machine.ends)
-
-    def probe(self, me: int, server: int) -> None:
-        machine = self.machines[server]
-        silent = machine.status in (Status.TIMEOUT, Status.CONNECT_FAILED) and machine.share >= 1
-        status = Status.TIMEOUT if silent else Status.OK
-        report = None if silent else {"busy_reqs": float(self.holds(server))}
-        delay = 0.2 if silent else 0.002
-        self.later(delay, me, lambda: Probed(server, status, delay, report))
-
-    def send(self, me: int, action: Send) -> None:
-        server, machine = action.server, self.machines[action.server]
-        number = self.sent[me].get(action.call, 0)
-        self.sent[me][action.call] = number + 1
-        self.attempts[me][action.call, number] = server
-        failing = machine.status is not Status.OK and self.chance.random() < machine.share
-        if server in self.starts and not (failing and machine.status is Status.CONNECT_FAILED):
-            told = self.told[me].get(server, 0.0) >= machine.started_at
-            self.starts[server].sends.append((self.now, told))
-        if failing and machine.status is not Status.TIMEOUT:
-            self.end(me, action.call, number, machine.status, CONNECT)
+    def calls_in_progress(self, server: int) -> int:
+        simulated = self.servers[server]
+        simulated.completion_times = [end for end in simulated.completion_times if end > self.now]
+        return len(simulated.completion_times)
+
+    def answer_probe(self, instance: int, server: int) -> None:
+        simulated = self.servers[server]
+        unresponsive = (
+            simulated.status in (Status.TIMEOUT, Status.CONNECT_FAILED) and simulated.failure_share >= 1
+        )
+        status = Status.TIMEOUT if unresponsive else Status.OK
+        report = None if unresponsive else {"busy_reqs": float(self.calls_in_progress(server))}
+        delay = 0.2 if unresponsive else 0.002
+        self.schedule(delay, instance, lambda: Probed(server, status, delay, report))
+
+    def execute_send(self, instance: int, action: Send) -> None:
+        server, simulated = action.server, self.servers[action.server]
+        attempt = self.attempts_sent[instance].get(action.call, 0)
+        self.attempts_sent[instance][action.call] = attempt + 1
+        self.attempts_in_flight[instance][action.call, attempt] = server
+        failing = simulated.status is not Status.OK and self.rng.random() < simulated.failure_share
+        if server in self.cold_starts and not (failing and simulated.status is Status.CONNECT_FAILED):
+            notified = self.known_starts[instance].get(server, 0.0) >= simulated.started_at
+            self.cold_starts[server].sends.append((self.now, notified))
+        if failing and simulated.status is not Status.TIMEOUT:
+            self.schedule_outcome(instance, action.call, attempt, simulated.status, IMMEDIATE_FAILURE_TIME)
             return
-        self.holds(server)
-        free = max([self.now, *machine.ends[-1:]])
-        machine.ends.append(free + self.chance.expovariate(1 / self.work) / self.warmth(server))
-        took = machine.ends[-1] - self.now
-        if failing or took >= action.timeout:
-            self.end(me, action.call, number, Status.TIMEOUT, action.timeout)
+        self.calls_in_progress(server)
+        free_at = max([self.now, *simulated.completion_times[-1:]])
+        simulated.completion_times.append(
+            free_at + self.rng.expovariate(1 / self.work_per_call) / self.capacity_share(server)
+        )
+        latency = simulated.completion_times[-1] - self.now
+        if failing or latency >= action.timeout:
+            self.schedule_outcome(instance, action.call, attempt, Status.TIMEOUT, action.timeout)
         else:
-            self.end(me, action.call, number, Status.OK, took)
+            self.schedule_outcome(instance, action.call, attempt, Status.OK, latency)
 
-    def end(self, me: int, call: int, number: int, status: Status, took: float) -> None:
-        def ended() -> Event | None:
-            server = self.attempts[me].pop((call, number), None)
+    def schedule_outcome(
+        self, instance: int, call: int, attempt: int, status: Status, latency: float
+    ) -> None:
+        def outcome() -> Event | None:
+            server = self.attempts_in_flight[instance].pop((call, attempt), None)
             if server is None:
                 return None
-            return Outcome(call, number, server, status, took, status is Status.OK)
+            return Outcome(call, attempt, server, status, latency, status is Status.OK)
 
-        self.later(took, me, ended)
+        self.schedule(latency, instance, outcome)
--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -27,17 +27,17 @@
 from granitepoint.logic import Balancer
 from granitepoint.modelcheck import draw
 from granitepoint.modelcheck.rules import RULES
-from granitepoint.modelcheck.world import Attempt, Call, Make, Rule, World
+from granitepoint.modelcheck.world import Attempt, BalancerFactory, Call, Rule, World
 
-WINDOWS = (1.0, 4.0, 30.0)  # where W starts, so that all of it is reached in few steps
+CONCURRENCY_LIMITS = (1.0, 4.0, 30.0)  # where W starts, so that all of it is reached in few steps
 
 
-class Obligations(RuleBasedStateMachine):
+class InstanceMachine(RuleBasedStateMachine):
     """The rules of one instance. `make` is what is checked; `checkers` by what."""
 
-    make: ClassVar[Make] = Balancer
+    balancer_factory: ClassVar[BalancerFactory] = Balancer
     checkers: ClassVar[tuple[type[Rule], ...]] = RULES
-    figures: ClassVar[Counter[str] | None] = None  # of what was run
+    statistics: ClassVar[Counter[str] | None] = None  # of what was run
     world: World
     last_id = 0
 
@@ -45,25 +45,34 @@
         options=draw.options,
         seed=st.integers(0, 999),
         now=st.sampled_from([0.0, 100.0]),
-        window=st.sampled_from(WINDOWS),
-        servers=st.sampled_from([draw.SERVERS, 4, 2, 1, 0]),
+        window=st.sampled_from(CONCURRENCY_LIMITS),
+        server_count=st.sampled_from([draw.MAX_SERVERS, 4, 2, 1, 0]),
     )
-    def begin(self, options: dict[str, Any], seed: int, now: float, window: float, servers: int) -> None:
-        make = type(self).make
-        self.world = World(Settings(**options), seed, [rule() for rule in self.checkers], make, now)
+    def begin(
+        self,
+        options: dict[str, Any],
+        seed: int,
+        now: float,
+        window: float,
+        server_count: int,
+    ) -> None:
+        balancer_factory = type(self).balancer_factory
+        self.world = World(
+            Settings(**options), seed, [rule() for rule in self.checkers], balancer_factory, now
+        )
         self.world.balancer.admission.window = window
-        entries = [draw.entry(server) for server in range(1, servers + 1)]
-        self.world.tell(ServerList(ListKind.SAVED, entries))
+        list_entries = [draw.server_entry(server) for server in range(1, server_count + 1)]
+        self.world.add_list(ServerList(ListKind.SAVED, list_entries))
 
-    def out(self) -> list[tuple[Call, Attempt]]:
-        return [(call, attempt) for call in self.world.open.values() for attempt in call.out]
+    def in_flight(self) -> list[tuple[Call, Attempt]]:
+        return [(call, attempt) for call in self.world.open_calls.values() for attempt in call.in_flight]
 
     def unfinished(self) -> list[Call]:
-        return [call for call in self.world.open.values() if not call.over]
+        return [call for call in self.world.open_calls.values() if not call.ended]
 
     @rule(
         count=st.integers(1, 6),
-        cls=st.integers(0, 3),
+        class_index=st.integers(0, 3),
         budget=st.sampled_from([3.0, 1.0, 0.3, 0.12, 0.02, 0.003]),
         tenant=st.sampled_from(["", "acme", "beta", "unheard of"]),
         work=st.sampled_from([0.0, 0.01, 5.0, -1.0]),
@@ -71,80 +80,92 @@
         stated=st.sampled_from([0.0, 0.2, 3.0]),
     )
     def arrive(
-        self, count: int, cls: int, budget: float, tenant: str, work: float, resent: bool, stated: float
+        self,
+        count: int,
+        class_index: int,
+        budget: float,
+        tenant: str,
+        work: float,
+        resent: bool,
+        stated: float,
     ) -> None:
         classes = self.world.settings.classes
         for _ in range(count):
             self.last_id += 1
-            name = classes[cls % len(classes)].name
-            self.world.arrive(Arrival(self.last_id, name, budget, tenant, work, resent, stated=stated))
+            name = classes[class_index % len(classes)].name
+            self.world.add_arrival(Arrival(self.last_id, name, budget, tenant, work, resent, stated=stated))
 
-    @rule(cls=st.sampled_from(["unheard of", *draw.NAMES]), budget=st.sampled_from([0.0, -1.0, math.inf]))
-    def arrive_odd(self, cls: str, budget: float) -> None:
+    @rule(
+        class_name=st.sampled_from(["unheard of", *draw.CLASS_NAMES]),
+        budget=st.sampled_from([0.0, -1.0, math.inf]),
+    )
+    def arrive_invalid(self, class_name: str, budget: float) -> None:
         self.last_id += 1
-        self.world.arrive(Arrival(self.last_id, cls, budget))
+        self.world.add_arrival(Arrival(self.last_id, class_name, budget))
 
     @precondition(lambda self: self.last_id > 0)
-    @rule(which=st.integers(0, 99), cls=st.integers(0, 3))
-    def arrive_again(self, which: int, cls: int) -> None:
+    @rule(which=st.integers(0, 99), class_index=st.integers(0, 3))
+    def arrive_again(self, which: int, class_index: int) -> None:
         """An id that has been used: no new request."""
         classes = self.world.settings.classes
-        self.world.arrive(Arrival(1 + which % self.last_id, classes[cls % len(classes)].name, 1.0))
+        self.world.add_arrival(
+            Arrival(1 + which % self.last_id, classes[class_index % len(classes)].name, 1.0)
+        )
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.in_flight())
     @rule(
         which=st.integers(0, 99),
         status=st.sampled_from(Status),
-        report=draw.reports,
-        rested=st.sampled_from([None, 0.0, 0.3, 20.0]),
+        report=draw.load_reports,
+        seconds_idle=st.sampled_from([None, 0.0, 0.3, 20.0]),
     )
-    def settle(
-        self, which: int, status: Status, report: dict[str, float] | None, rested: float | None
+    def finish_attempt(
+        self, which: int, status: Status, report: dict[str, float] | None, seconds_idle: float | None
     ) -> None:
-        out = self.out()
-        call, attempt = out[which % len(out)]
-        self.world.settle(call, attempt, status, report, rested)
+        in_flight = self.in_flight()
+        call, attempt = in_flight[which % len(in_flight)]
+        self.world.finish_attempt(call, attempt, status, report, seconds_idle)
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.in_flight())
     @rule(
         which=st.integers(0, 99),
         status=st.sampled_from(Status),
-        after=st.sampled_from([0.06, 0.2, 0.41, 0.8]),
-        still=st.booleans(),
+        delay=st.sampled_from([0.06, 0.2, 0.41, 0.8]),
+        via_stall=st.booleans(),
     )
-    def settle_late(self, which: int, status: Status, after: float, still: bool) -> None:
+    def finish_attempt_late(self, which: int, status: Status, delay: float, via_stall: bool) -> None:
         """Some time goes by first; the instance may stand still meanwhile."""
-        call, attempt = (out := self.out())[which % len(out)]
-        (self.world.stand_still if still else self.world.wait)(after)
+        call, attempt = (in_flight := self.in_flight())[which % len(in_flight)]
+        (self.world.stall if via_stall else self.world.advance_time)(delay)
         if attempt.status is None:
-            self.world.settle(call, attempt, status)
+            self.world.finish_attempt(call, attempt, status)
 
-    @precondition(lambda self: self.out())
-    @rule(status=st.sampled_from(Status), server=st.integers(0, draw.SERVERS))
-    def settle_all(self, status: Status, server: int) -> None:
+    @precondition(lambda self: self.in_flight())
+    @rule(status=st.sampled_from(Status), server=st.integers(0, draw.MAX_SERVERS))
+    def finish_attempts(self, status: Status, server: int) -> None:
         """All that is out ends alike, or all that is out on one server."""
-        for call, attempt in self.out():
+        for call, attempt in self.in_flight():
             if server in (0, attempt.server):
-                self.world.settle(call, attempt, status)
+                self.world.finish_attempt(call, attempt, status)
 
     @precondition(
-        lambda self: any(call.cls and call.cls.stream and not call.streaming for call, _ in self.out())
+        lambda self: any(call.cls and call.cls.stream and not call.streaming for call, _ in self.in_flight())
     )
     @rule(which=st.integers(0, 99))
     def start_stream(self, which: int) -> None:
-        ready = [
+        candidates = [
             (call, attempt)
-            for call, attempt in self.out()
-            if call.cls is not None and call.cls.stream and not call.streaming and not call.over
+            for call, attempt in self.in_flight()
+            if call.cls is not None and call.cls.stream and not call.streaming and not call.ended
         ]
-        if ready:
-            self.world.start_stream(*ready[which % len(ready)])
+        if candidates:
+            self.world.start_stream(*candidates[which % len(candidates)])
 
     @precondition(lambda self: self.unfinished())
     @rule(which=st.integers(0, 99))
-    def leave(self, which: int) -> None:
+    def disconnect_client(self, which: int) -> None:
         calls = self.unfinished()
-        self.world.leave(calls[which % len(calls)])
+        self.world.disconnect_client(calls[which % len(calls)])
 
     @rule(
         id=st.integers(0, 20),
@@ -152,91 +173,101 @@
         status=st.sampled_from(Status),
         kind=st.integers(0, 4),
     )
-    def stray(self, id: int, attempt: int, status: Status, kind: int) -> None:
+    def stray_event(self, id: int, attempt: int, status: Status, kind: int) -> None:
         """News of what is over, or was never there."""
         call = self.world.calls.get(id)
         known = call is not None and any(a.number == attempt and a.status is None for a in call.attempts)
         if kind == 0 and not known:
-            self.world.pending.append(Outcome(id, attempt, 1, status, 0.1, True))
+            self.world.pending_events.append(Outcome(id, attempt, 1, status, 0.1, True))
         elif kind == 1 and not known:
-            self.world.pending.append(StreamStarted(id, attempt, 1, 0.1))
-        elif kind == 2 and (call is None or call.over):
-            self.world.pending.append(Gone(id))
+            self.world.pending_events.append(StreamStarted(id, attempt, 1, 0.1))
+        elif kind == 2 and (call is None or call.ended):
+            self.world.pending_events.append(Gone(id))
         elif kind == 3:
-            self.world.pending.append(Timer(id))
+            self.world.pending_events.append(Timer(id))
         elif kind == 4:
-            self.world.pending.append(Probed(id, status, 0.1, None))
+            self.world.pending_events.append(Probed(id, status, 0.1, None))
 
     @rule(
-        kind=draw.kinds,
-        lines=st.lists(draw.lines, max_size=4, unique_by=lambda line: line[0]),
+        kind=draw.list_kinds,
+        list_entries=st.lists(draw.entry_parameters, max_size=4, unique_by=lambda parameters: parameters[0]),
         calls=st.integers(0, 9),
     )
-    def tell(self, kind: ListKind, lines: list[draw.Line], calls: int) -> None:
+    def receive_list(self, kind: ListKind, list_entries: list[draw.EntryParameters], calls: int) -> None:
         """A whole list holds all servers as they were, but for the lines. Calls come in the same batch."""
         changed = {
-            line[0]: draw.entry(*line[:2], self.world.now if line[2] else 0.0, line[3]) for line in lines
+            parameters[0]: draw.server_entry(
+                *parameters[:2], self.world.now if parameters[2] else 0.0, parameters[3]
+            )
+            for parameters in list_entries
         }
         if kind is ListKind.FAILED:
             changed = {}
         elif kind is not ListKind.INCREMENTAL:
-            whole = {server: draw.entry(server) for server in range(1, draw.SERVERS + 1)} | changed
-            changed = {server: e for server, e in whole.items() if e.state is not ServerState.GONE}
-        self.world.tell(ServerList(kind, list(changed.values())))
-        for place in range(calls):
+            full_list = {
+                server: draw.server_entry(server) for server in range(1, draw.MAX_SERVERS + 1)
+            } | changed
+            changed = {server: e for server, e in full_list.items() if e.state is not ServerState.GONE}
+        self.world.add_list(ServerList(kind, list(changed.values())))
+        for position in range(calls):
             self.last_id += 1
-            cls = self.world.settings.classes[place % len(self.world.settings.classes)]
-            self.world.arrive(Arrival(self.last_id, cls.name, cls.deadline))
+            cls = self.world.settings.classes[position % len(self.world.settings.classes)]
+            self.world.add_arrival(Arrival(self.last_id, cls.name, cls.deadline))
 
     @rule(
         seed=st.integers(0, 999),
         calls=st.integers(1, 30),
-        pace=st.sampled_from([0.002, 0.02, 0.1]),
+        mean_gap=st.sampled_from([0.002, 0.02, 0.1]),
         statuses=st.lists(st.sampled_from(Status), min_size=1, max_size=4),
     )
-    def traffic(self, seed: int, calls: int, pace: float, statuses: list[Status]) -> None:
+    def traffic(self, seed: int, calls: int, mean_gap: float, statuses: list[Status]) -> None:
         """Many calls, by chance: each comes some time after the one before, and some that are out end."""
-        chance = Random(seed)
+        rng = Random(seed)
         classes = self.world.settings.classes
         for _ in range(calls):
             self.last_id += 1
-            self.world.arrive(
-                Arrival(self.last_id, chance.choice(classes).name, chance.choice([3.0, 1.0, 0.2]))
+            self.world.add_arrival(
+                Arrival(self.last_id, rng.choice(classes).name, rng.choice([3.0, 1.0, 0.2]))
             )
-            self.world.wait(pace * chance.expovariate(1))
-            for call, attempt in self.out():
-                if chance.random() < 0.4:
-                    self.world.settle(call, attempt, chance.choice(statuses))
+            self.world.advance_time(mean_gap * rng.expovariate(1))
+            for call, attempt in self.in_flight():
+                if rng.random() < 0.4:
+                    self.world.finish_attempt(call, attempt, rng.choice(statuses))
 
-    @precondition(lambda self: self.world.probing)
+    @precondition(lambda self: self.world.probes_in_flight)
     @rule(
         which=st.integers(0, 99),
         status=st.sampled_from([Status.OK, Status.ERROR, Status.FULL, Status.TIMEOUT, Status.CONNECT_FAILED]),
-        report=draw.reports,
+        report=draw.load_reports,
     )
-    def end_probe(self, which: int, status: Status, report: dict[str, float] | None) -> None:
-        self.world.end_probe(which % len(self.world.probing), status, report)
+    def finish_probe(self, which: int, status: Status, report: dict[str, float] | None) -> None:
+        self.world.finish_probe(which % len(self.world.probes_in_flight), status, report)
 
-    @rule(server=st.integers(1, draw.SERVERS), rested=st.sampled_from([0.0, 0.5, 30.0]))
-    def close_at_rest(self, server: int, rested: float) -> None:
-        self.world.pending.append(ClosedAtRest(server, rested))
+    @rule(server=st.integers(1, draw.MAX_SERVERS), idle_for=st.sampled_from([0.0, 0.5, 30.0]))
+    def close_idle(self, server: int, idle_for: float) -> None:
+        self.world.pending_events.append(ClosedAtRest(server, idle_for))
 
-    @rule(span=st.sampled_from(draw.SPANS))
-    def wait(self, span: float) -> None:
-        self.world.wait(span)
+    @rule(time_span=st.sampled_from(draw.DURATIONS))
+    def wait(self, time_span: float) -> None:
+        self.world.advance_time(time_span)
 
-    @rule(span=st.sampled_from([0.2, 0.25, 1.0, 4.0]), due_first=st.booleans())
-    def stand_still(self, span: float, due_first: bool) -> None:
-        self.world.stand_still(span, due_first)
+    @rule(time_span=st.sampled_from([0.2, 0.25, 1.0, 4.0]), due_first=st.booleans())
+    def stall(self, time_span: float, due_first: bool) -> None:
+        self.world.stall(time_span, due_first)
 
     def teardown(self) -> None:
         """All comes to its end."""
-        if not hasattr(self, "world") or self.world.broken:
+        if not hasattr(self, "world") or self.world.failed:
             return
         self.world.finish()
         for checker in self.world.rules:
-            checker.check(not self.world.open, f"calls {list(self.world.open)} do not end")
-        if self.figures is not None:
+            checker.check(not self.world.open_calls, f"calls {list(self.world.open_calls)} do not end")
+        if self.statistics is not None:
             attempts = sum(len(call.attempts) for call in self.world.calls.values())
-            ran = {"examples": 1, "turns": self.world.turns, "requests": self.last_id, "attempts": attempts}
-            self.figures.update(ran)
+            totals = {
+                "examples": 1,
+                "turns": self.world.turns,
+                "requests": self.last_id,
+                "attempts": attempts,
+            }
+            self.statistics.update(totals)
--- a/granitepoint/modelcheck/sockets.py
+++ b/granitepoint/modelcheck/sockets.py
@@ -15,10 +15,10 @@
 from types import SimpleNamespace
 from typing import Any
 
-HIGH_WATER = 64 * 1024  # bytes unsent from which a protocol is told to pause
+HIGH_WATER_BYTES = 64 * 1024  # bytes unsent from which a protocol is told to pause
 EOF_MARK, RESET_MARK = b"", None
 
-Connect = Callable[[tuple[str, int]], Awaitable["Peer"]]
+ConnectHandler = Callable[[tuple[str, int]], Awaitable["Peer"]]
 
 
 class Clock:
@@ -26,26 +26,26 @@
 
     def __init__(self, start: float) -> None:
         self.now = start
-        self.numbers = count(100)
+        self.unique_numbers = count(100)
         self.links: dict[int, Link] = {}  # by file number: open at the proxy's side
-        self.due: list[tuple[float, int, Callable[[], object]]] = []  # what the peers do, and when
+        self.scheduled: list[tuple[float, int, Callable[[], object]]] = []  # what the peers do, and when
         self.time = SimpleNamespace(monotonic=lambda: self.now, time=lambda: self.now)
         self.select = SimpleNamespace(
             poll=lambda: Poll(self),
             **{name: getattr(select, name) for name in ("POLLIN", "POLLERR", "POLLHUP", "POLLRDHUP")},
         )
 
-    def at(self, delay: float, do: Callable[[], object]) -> None:
+    def schedule(self, delay: float, callback: Callable[[], object]) -> None:
         """A peer does this after so many s, whatever the proxy is doing then."""
-        heapq.heappush(self.due, (self.now + delay, next(self.numbers), do))
+        heapq.heappush(self.scheduled, (self.now + delay, next(self.unique_numbers), callback))
 
-    def pass_time(self, span: float, until_ready: bool = False) -> None:
+    def advance(self, time_span: float, until_ready: bool = False) -> None:
         """Time goes by, and what the peers do; if so asked, until something of it reaches the proxy."""
-        end = self.now + span
-        while self.due and self.due[0][0] <= end:
-            at, _, do = heapq.heappop(self.due)
+        end = self.now + time_span
+        while self.scheduled and self.scheduled[0][0] <= end:
+            at, _, callback = heapq.heappop(self.scheduled)
             self.now = max(self.now, at)
-            do()
+            callback()
             if until_ready and any(link.readable() for link in self.links.values()):
                 return
         self.now = end
@@ -54,65 +54,65 @@
 class Poll:
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.wanted: dict[int, int] = {}
+        self.registered: dict[int, int] = {}
 
-    def register(self, number: int, events: int) -> None:
-        self.wanted[number] = events
+    def register(self, fd: int, events: int) -> None:
+        self.registered[fd] = events
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
-        always = select.POLLERR | select.POLLHUP
-        found = []
-        for number, events in self.wanted.items():
-            if number not in self.clock.links:
-                raise AssertionError(f"a poll of file {number}, which is closed")
-            ready = self.clock.links[number].events() & (events | always)
+        always_reported = select.POLLERR | select.POLLHUP
+        ready_fds = []
+        for fd, events in self.registered.items():
+            if fd not in self.clock.links:
+                raise AssertionError(f"a poll of file {fd}, which is closed")
+            ready = self.clock.links[fd].poll_events() & (events | always_reported)
             if ready:
-                found.append((number, ready))
-        return found
+                ready_fds.append((fd, ready))
+        return ready_fds
 
 
 class Loop(asyncio.BaseEventLoop):
     """Time passes only while nothing is ready; a connect is the model's to answer."""
 
-    def __init__(self, clock: Clock, connect: Connect, seed: int) -> None:
+    def __init__(self, clock: Clock, connect: ConnectHandler, seed: int) -> None:
         super().__init__()
-        self.clock, self.connect, self.chance = clock, connect, Random(seed)
+        self.clock, self.connect, self.rng = clock, connect, Random(seed)
         self._selector = self
-        self.faults: list[dict[str, Any]] = []  # what came out of callbacks
-        self.set_exception_handler(lambda _, context: self.faults.append(context))
+        self.callback_errors: list[dict[str, Any]] = []  # what came out of callbacks
+        self.set_exception_handler(lambda _, context: self.callback_errors.append(context))
 
     def time(self) -> float:
         return self.clock.now
 
     def select(self, timeout: float | None) -> list[Link]:
-        self.clock.pass_time(0.0)
+        self.clock.advance(0.0)
         if timeout is None and not any(link.readable() for link in self.clock.links.values()):
             raise AssertionError("nothing will ever happen")
         if timeout and not any(link.readable() for link in self.clock.links.values()):
-            self.clock.pass_time(timeout, until_ready=True)
+            self.clock.advance(timeout, until_ready=True)
         ready = [link for link in self.clock.links.values() if link.readable()]
-        self.chance.shuffle(ready)
+        self.rng.shuffle(ready)
         return ready
 
     def _process_events(self, ready: list[Link]) -> None:
         for link in ready:
-            if not link.due:
-                link.due = True
+            if not link.read_scheduled:
+                link.read_scheduled = True
                 self.call_soon(self.call_soon, link.read)  # after the timers of this turn
 
-    async def create_connection(self, factory: Any, *at: Any, **_: Any) -> Any:  # type: ignore[override]
-        peer = await self.connect((at[0], at[1]))
+    async def create_connection(self, factory: Any, *address: Any, **_: Any) -> Any:  # type: ignore[override]
+        peer = await self.connect((address[0], address[1]))
         protocol = factory()
         link = Link(self, protocol, peer)
         protocol.connection_made(link)
         return link, protocol
 
-    def run_for(self, span: float) -> None:
-        self.run_until_complete(asyncio.sleep(span))
+    def run_for(self, time_span: float) -> None:
+        self.run_until_complete(asyncio.sleep(time_span))
 
-    def stand_still(self, span: float) -> None:
+    def stall(self, time_span: float) -> None:
         """The process gets no processor time."""
-        self.clock.pass_time(span)
+        self.clock.advance(time_span)
 
 
 class Peer:
@@ -120,16 +120,16 @@
 
     link: Link
 
-    def made(self) -> None:
+    def on_connected(self) -> None:
         """The connection is up."""
 
-    def got(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         """Bytes have come."""
 
-    def ended(self) -> None:
+    def on_eof(self) -> None:
         """The proxy sends no more."""
 
-    def lost(self) -> None:
+    def on_closed(self) -> None:
         """The proxy's side is closed; what the peer has not read yet is lost where it was reset."""
 
 
@@ -139,125 +139,125 @@
     def __init__(self, loop: Loop, protocol: Any, peer: Peer) -> None:
         super().__init__()
         self.loop, self.protocol, self.peer = loop, protocol, peer
-        self.number = next(loop.clock.numbers)
-        loop.clock.links[self.number] = self
-        self.unread: deque[bytes | None] = deque()  # bytes, an end or a reset, in the order they came
-        self.unsent = bytearray()
-        self.taking = True  # the peer takes what is written
+        self.fd = next(loop.clock.unique_numbers)
+        loop.clock.links[self.fd] = self
+        self.receive_buffer: deque[bytes | None] = deque()  # bytes, an end or a reset, in the order they came
+        self.send_buffer = bytearray()
+        self.peer_reading = True  # the peer takes what is written
         self.reading = True
-        self.due = False  # a read is on its way
+        self.read_scheduled = False  # a read is on its way
         self.closing = False
-        self.gone = False
-        self.eof_sent = self.wants_eof = False
+        self.closed = False
+        self.eof_sent = self.eof_pending = False
         self.peer_closed = False
-        self.paused = False
-        self.was_read = 0  # bytes that the protocol has been given
+        self.writing_paused = False
+        self.bytes_read = 0  # bytes that the protocol has been given
         self.reset_by_proxy = False
         peer.link = self
-        peer.made()
+        peer.on_connected()
 
     # the kernel
-    def events(self) -> int:
-        found = 0
-        if self.unread:
-            found |= select.POLLIN
-        if any(not mark for mark in self.unread):
-            found |= select.POLLRDHUP
-        if None in self.unread:
-            found |= select.POLLHUP | select.POLLERR
-        return found
+    def poll_events(self) -> int:
+        ready_fds = 0
+        if self.receive_buffer:
+            ready_fds |= select.POLLIN
+        if any(not item for item in self.receive_buffer):
+            ready_fds |= select.POLLRDHUP
+        if None in self.receive_buffer:
+            ready_fds |= select.POLLHUP | select.POLLERR
+        return ready_fds
 
     def readable(self) -> bool:
-        return self.reading and bool(self.unread) and not self.closing and not self.due
+        return self.reading and bool(self.receive_buffer) and not self.closing and not self.read_scheduled
 
     def read(self) -> None:
-        self.due = False
-        if not self.reading or self.closing or not self.unread:
+        self.read_scheduled = False
+        if not self.reading or self.closing or not self.receive_buffer:
             return
-        data = self.unread.popleft()
+        data = self.receive_buffer.popleft()
         if data is RESET_MARK:
-            self.drop(ConnectionResetError("reset by peer"))
+            self.close_now(ConnectionResetError("reset by peer"))
         elif data == EOF_MARK:
             if not self.protocol.eof_received():
                 self.close()
         else:
             assert data is not None
-            while self.unread and self.unread[0]:
-                more = self.unread.popleft()
+            while self.receive_buffer and self.receive_buffer[0]:
+                more = self.receive_buffer.popleft()
                 assert more is not None
                 data += more
-            self.was_read += len(data)
+            self.bytes_read += len(data)
             self.protocol.data_received(data)
 
     def flush(self) -> None:
-        if self.taking and self.unsent:
-            data = bytes(self.unsent)
-            self.unsent.clear()
-            self.peer.got(data)
-            if self.peer_closed and not self.gone:  # a closed socket answers with a reset
+        if self.peer_reading and self.send_buffer:
+            data = bytes(self.send_buffer)
+            self.send_buffer.clear()
+            self.peer.on_data(data)
+            if self.peer_closed and not self.closed:  # a closed socket answers with a reset
                 self.peer_resets()
-        if self.paused and not self.unsent:
-            self.paused = False
+        if self.writing_paused and not self.send_buffer:
+            self.writing_paused = False
             self.protocol.resume_writing()
-        if not self.unsent:
-            if self.wants_eof and not self.eof_sent:
+        if not self.send_buffer:
+            if self.eof_pending and not self.eof_sent:
                 self.eof_sent = True
-                self.peer.ended()
-            if self.closing and not self.gone:
-                self.loop.call_soon(self.end, None)
+                self.peer.on_eof()
+            if self.closing and not self.closed:
+                self.loop.call_soon(self.finish_close, None)
 
-    def end(self, fault: Exception | None) -> None:
-        if self.gone:
+    def finish_close(self, error: Exception | None) -> None:
+        if self.closed:
             return
-        self.gone = self.closing = True
-        self.reset_by_proxy = bool(self.unread) or bool(self.unsent)
-        del self.loop.clock.links[self.number]
-        self.protocol.connection_lost(fault)
-        self.peer.lost()
+        self.closed = self.closing = True
+        self.reset_by_proxy = bool(self.receive_buffer) or bool(self.send_buffer)
+        del self.loop.clock.links[self.fd]
+        self.protocol.connection_lost(error)
+        self.peer.on_closed()
 
-    def drop(self, fault: Exception | None) -> None:
+    def close_now(self, error: Exception | None) -> None:
         self.closing = True
-        self.unsent.clear()
-        self.loop.call_soon(self.end, fault)
+        self.send_buffer.clear()
+        self.loop.call_soon(self.finish_close, error)
 
     # what the peer does
     def peer_sends(self, data: bytes) -> None:
-        if not self.gone and data and None not in self.unread:
-            self.unread.append(data)
+        if not self.closed and data and None not in self.receive_buffer:
+            self.receive_buffer.append(data)
 
     def peer_ends(self) -> None:
         """Half a close, or with `peer_closed` a whole one."""
-        if not self.gone and not any(not mark for mark in self.unread):
-            self.unread.append(EOF_MARK)
+        if not self.closed and not any(not item for item in self.receive_buffer):
+            self.receive_buffer.append(EOF_MARK)
 
     def peer_closes(self) -> None:
         self.peer_ends()
         self.peer_closed = True
 
     def peer_resets(self) -> None:
-        if not self.gone:
-            self.unread.clear()
-            self.unread.append(RESET_MARK)
+        if not self.closed:
+            self.receive_buffer.clear()
+            self.receive_buffer.append(RESET_MARK)
 
-    def peer_takes(self, taking: bool) -> None:
-        self.taking = taking
-        if taking:
+    def peer_reads(self, reading: bool) -> None:
+        self.peer_reading = reading
+        if reading:
             self.flush()
 
     # asyncio.Transport
     def write(self, data: Any) -> None:
-        assert not self.eof_sent and not self.wants_eof, "a write after the end"
+        assert not self.eof_sent and not self.eof_pending, "a write after the end"
         if self.closing:
             return
-        self.unsent += data
+        self.send_buffer += data
         self.flush()
-        if len(self.unsent) > HIGH_WATER and not self.paused:
-            self.paused = True
+        if len(self.send_buffer) > HIGH_WATER_BYTES and not self.writing_paused:
+            self.writing_paused = True
             self.protocol.pause_writing()
 
     def write_eof(self) -> None:
-        if not self.wants_eof:
-            self.wants_eof = True
+        if not self.eof_pending:
+            self.eof_pending = True
             self.flush()
 
     def close(self) -> None:
@@ -266,14 +266,14 @@
             self.flush()
 
     def abort(self) -> None:
-        if not self.gone:
-            self.drop(None)
+        if not self.closed:
+            self.close_now(None)
 
     def is_closing(self) -> bool:
         return self.closing
 
     def get_write_buffer_size(self) -> int:
-        return len(self.unsent)
+        return len(self.send_buffer)
 
     def pause_reading(self) -> None:
         self.reading = False
@@ -282,4 +282,4 @@
         self.reading = True
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        return SimpleNamespace(fileno=lambda: self.number) if name == "socket" else default
+        return SimpleNamespace(fileno=lambda: self.fd) if name == "socket" else default
