--- a/granitepoint/modelcheck/__init__.py
+++ b/granitepoint/modelcheck/__init__.py
@@ -1,1 +1,1 @@
-"""Model checking: state machines that look for a breach of the rules. The proxy imports none of it."""
+"""Model checking: state machines that search for violations of the rules. The proxy does not import it."""
--- a/granitepoint/modelcheck/__main__.py
+++ b/granitepoint/modelcheck/__main__.py
@@ -1,4 +1,4 @@
-"""The command: `python -m granitepoint.modelcheck --examples N --steps N --seed S [--rule NAME]`."""
+"""The command line: `python -m granitepoint.modelcheck --examples N --steps N --seed S [--rule NAME]`."""
 
 from __future__ import annotations
 
@@ -9,36 +9,46 @@
 
 from granitepoint.modelcheck.check import CHECKS, CounterexampleFound, check
 
-MAX_EXAMPLES_PER_RUN = 500  # examples with one seed: what hypothesis keeps of each comes to some hundred KB
+# Examples that share one seed. hypothesis keeps some hundred KB of each until the run is over.
+MAX_EXAMPLES_PER_RUN = 500
 
 
 def parse_positive(text: str) -> int:
+    """Parses an integer of 1 or more; raises ValueError or argparse.ArgumentTypeError."""
     number = int(text)
     if number < 1:
-        raise argparse.ArgumentTypeError("has to be 1 or more")
+        raise argparse.ArgumentTypeError("must be 1 or more")
     return number
 
 
 def parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
+    """Parses the command line; None stands for sys.argv."""
     parser = argparse.ArgumentParser(
         prog="python -m granitepoint.modelcheck",
-        description="Looks for a breach of the rules. Exit code 1: one was found, and is printed.",
+        description="Searches for violations of the rules. Exit code 1: one was found, and is printed.",
     )
     parser.add_argument(
-        "--examples", type=parse_positive, default=200, help="runs for each rule or group of rules"
+        "--examples", type=parse_positive, default=200, help="number of runs for each rule or group of rules"
     )
-    parser.add_argument("--steps", type=parse_positive, default=50, help="steps of each, at most")
+    parser.add_argument("--steps", type=parse_positive, default=50, help="maximum number of steps of a run")
     parser.add_argument("--seed", type=int, default=0)
-    parser.add_argument("--rule", choices=sorted(CHECKS), action="append", help="else all, in three runs")
+    parser.add_argument(
+        "--rule",
+        choices=sorted(CHECKS),
+        action="append",
+        help="may be repeated; default: all rules, in three checks",
+    )
     return parser.parse_args(arguments)
 
 
 def print_report(name: str, seconds: float, statistics: Counter[str]) -> None:
+    """Prints one line with the duration and the counters of a check."""
     summary = ", ".join(f"{statistics[label]} {label}" for label in statistics)
     print(f"{name}: {seconds:.1f} s, {summary}", flush=True)
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Runs the chosen checks and returns the exit code: 1 if a violation was found, else 0."""
     options = parse_arguments(arguments)
     names = options.rule or ["instance", "cold", "endings"]
     failed = False
--- a/granitepoint/modelcheck/check.py
+++ b/granitepoint/modelcheck/check.py
@@ -1,4 +1,8 @@
-"""Runs one check: a state machine with the checkers of a rule, or of all rules that it holds."""
+"""Runs one check: a state machine with the checker of one rule, or of all rules that apply to it.
+
+The names of rule methods and of their parameters are part of a seed's meaning: hypothesis orders both by
+name, so after a renaming that changes the order, a seed leads to other cases.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 MachineClass = type[RuleBasedStateMachine]
 
-# The name of each check: its state machine, and what is changed in it.
+# For each check its state machine and the class attributes that differ from the machine's own.
 CHECKS: dict[str, tuple[MachineClass, dict[str, Any]]] = {
     "instance": (InstanceMachine, {}),
     "cold": (ColdStartMachine, {}),
@@ -32,7 +36,7 @@
 
 
 class CounterexampleFound(AssertionError):
-    """A rule does not hold; `test` is the shortest case found, as a test."""
+    """A rule was violated; `test_source` is the shortest case that was found, as Python code of a test."""
 
     def __init__(self, cause: BaseException, test_source: str) -> None:
         super().__init__(str(cause) or repr(cause))
@@ -40,12 +44,15 @@
 
 
 def format_as_test(machine: MachineClass, notes: list[str]) -> str:
-    """The steps that hypothesis tells of, as a function that can be run."""
+    """Converts the steps that hypothesis reports into the code of a test function.
+
+    Returns the notes unchanged if they hold no steps.
+    """
     text = "\n".join(notes)
     steps = text.partition("Falsifying example:\n")[2].partition("\nExplanation:")[0].strip()
     if not steps:
         return text
-    steps = re.sub(r"<(\w+\.\w+): [^>]*>", r"\1", steps)  # an enumeration's member
+    steps = re.sub(r"<(\w+\.\w+): [^>]*>", r"\1", steps)  # <Enum.MEMBER: value> -> Enum.MEMBER
     imports = [f"from {machine.__module__} import {machine.__name__}"]
     for module, names in IMPORTABLE_NAMES.items():
         used = [name for name in names if re.search(rf"\b{name}\b", steps)]
@@ -64,7 +71,10 @@
     phases: tuple[Phase, ...] = GENERATE_AND_SHRINK,
     **overrides: Any,
 ) -> None:
-    """Raises Found with the shortest case. `figures` gets what was run; `changes` are of the machine."""
+    """Runs `examples` examples of up to `steps` steps; raises CounterexampleFound if a rule is violated.
+
+    `statistics` receives counters of what was run. `overrides` replace class attributes of the state machine.
+    """
     base, own_attributes = CHECKS[name]
     machine = type(
         base.__name__,
--- a/granitepoint/modelcheck/cold.py
+++ b/granitepoint/modelcheck/cold.py
@@ -1,4 +1,7 @@
-"""A state machine over a whole fleet: cold starts under moving traffic, failing servers and late lists."""
+"""A state machine over a whole fleet: cold starts under shifting traffic, failing servers and delayed lists.
+
+The parameter `which` of a rule selects an element by its index, modulo the number of elements.
+"""
 
 from __future__ import annotations
 
@@ -17,10 +20,10 @@
 
 
 class ColdStartMachine(RuleBasedStateMachine):
-    """The budget of each cold server, over all instances."""
+    """Checks that all instances together keep to the budget of each cold server."""
 
     balancer_factory: ClassVar[BalancerFactory] = Balancer
-    statistics: ClassVar[Counter[str] | None] = None  # of what was run
+    statistics: ClassVar[Counter[str] | None] = None  # counters of what was run
     fleet: Fleet
 
     @initialize(
@@ -44,6 +47,9 @@
         seed: int,
         warm_up: float,
     ) -> None:
+        """Builds the fleet and runs it for `warm_up` seconds.
+
+        `window` is the initial concurrency limit of each instance."""
         settings: dict[str, object] = {
             "max_attempts": 3, "may_cancel": True, "may_duplicate": True, "may_probe": may_probe,
             "price_probe": 0.06, "reports": "probe" if may_probe else "none",
@@ -58,14 +64,17 @@
         self.fleet.run(warm_up)
 
     def server_at(self, which: int) -> int:
+        """Returns the id of a server."""
         return 1 + which % len(self.fleet.servers)
 
     @rule(time_span=st.sampled_from([0.5, 2.0, 4.0]))
     def run(self, time_span: float) -> None:
+        """Lets time pass, in seconds."""
         self.fleet.run(time_span)
 
     @rule(which=st.integers(0, MAX_SERVERS - 1), more_servers=st.integers(0, 2), list_as_gone=st.booleans())
     def restart_server(self, which: int, more_servers: int, list_as_gone: bool) -> None:
+        """Restarts one to three servers, which discovery may first list as gone."""
         for offset in range(more_servers + 1):
             server = self.server_at(which + offset)
             (self.fleet.remove_and_restart if list_as_gone else self.fleet.restart_server)(server)
@@ -73,10 +82,12 @@
 
     @rule(utilization=st.sampled_from([0.3, 0.7, 1.0, 1.5]))
     def set_utilization(self, utilization: float) -> None:
+        """Sets the offered load, as a share of the capacity of all warm servers."""
         self.fleet.utilization = utilization
 
     @rule(seed=st.integers(0, 99), skew=st.sampled_from([0.3, 1.0, 1.5]))
     def set_traffic_shares(self, seed: int, skew: float) -> None:
+        """Redistributes the traffic between the instances."""
         self.fleet.set_traffic_shares(seed, skew)
 
     @rule(
@@ -87,31 +98,38 @@
         failure_share=st.sampled_from([0.3, 0.9, 1.0]),
     )
     def fail_server(self, which: int, status: Status, failure_share: float) -> None:
+        """Makes a share of a server's calls end with a status; Status.OK ends the failures."""
         simulated = self.fleet.servers[self.server_at(which)]
         simulated.status, simulated.failure_share = status, failure_share
 
     @rule(max_list_delay=st.sampled_from([0.0, 0.3, 3.0]))
     def limit_list_delay(self, max_list_delay: float) -> None:
+        """Sets the longest delay, in seconds, after which an instance receives a list."""
         self.fleet.max_list_delay = max_list_delay
 
     @rule(which=st.integers(0, MAX_SERVERS - 1))
     def drop_from_list(self, which: int) -> None:
+        """Sends full lists without a server, and soon after that full lists with it."""
         self.fleet.drop_from_list(self.server_at(which))
 
     @rule(kind=st.sampled_from([ListKind.FULL, ListKind.INCREMENTAL, ListKind.SAVED]))
     def send_list_again(self, kind: ListKind) -> None:
+        """Sends the current state of all servers to all instances again."""
         self.fleet.publish_list(list(self.fleet.servers), kind)
 
     @rule(which=st.integers(0, 29), count=st.integers(1, 3))
     def restart_instance(self, which: int, count: int) -> None:
+        """Replaces `count` instances by new ones without any state."""
         for position in range(which, which + count):
             self.fleet.restart_instance(position % len(self.fleet.instances))
 
     @rule(which=st.integers(0, 29), time_span=st.sampled_from([0.3, 1.0, 3.0]))
     def stall(self, which: int, time_span: float) -> None:
+        """Stalls an instance: it handles no events for this many seconds."""
         self.fleet.stall(which % len(self.fleet.instances), time_span)
 
     def teardown(self) -> None:
+        """Adds the counters of this example to the statistics."""
         if self.statistics is None or not hasattr(self, "fleet"):
             return
         cold_starts = [*self.fleet.ended_starts, *self.fleet.cold_starts.values()]
--- a/granitepoint/modelcheck/draw.py
+++ b/granitepoint/modelcheck/draw.py
@@ -1,4 +1,4 @@
-"""Drawing of settings, reports and lists."""
+"""hypothesis strategies for settings, load reports and server lists."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 CLASS_NAMES = ("order", "pay", "read", "feed")
 ZONES = ("a", "b", "c")
-MAX_SERVERS = 9  # at most, numbered from 1
+MAX_SERVERS = 9  # server ids are 1 to 9
 DURATIONS = (0.0, 0.001, 0.005, 0.01, 0.03, 0.05, 0.1, 0.3, 1.0, 2.5)  # s
 
 request_classes = st.builds(
@@ -26,7 +26,7 @@
     stream=st.booleans(),
 )
 
-# of Settings
+# Keyword arguments of Settings.
 options = st.fixed_dictionaries(
     {
         "classes": st.lists(request_classes, min_size=1, max_size=4, unique_by=lambda cls: cls.name),
@@ -61,18 +61,20 @@
 
 
 def location(server: int) -> tuple[str, int]:
-    """The zone and the cell of a server: two cells in each zone."""
+    """Returns the zone and the cell of a server; each zone has two cells."""
     return ZONES[server % len(ZONES)], server // len(ZONES) % 2
 
 
 def server_entry(
     server: int, state: ServerState = ServerState.SERVING, started_at: float = 0.0, weight: float = 1.0
 ) -> ServerEntry:
+    """Returns the list entry of a server, in the zone and the cell of `location`."""
     zone, cell = location(server)
     return ServerEntry(server, zone, "", cell, state, weight, started_at)
 
 
-EntryParameters = tuple[int, ServerState, bool, float]  # server, state, whether it has just started, weight
+# Server id, state, whether the server has just started, weight.
+EntryParameters = tuple[int, ServerState, bool, float]
 entry_parameters = st.tuples(
     st.integers(1, MAX_SERVERS),
     st.sampled_from([ServerState.SERVING, ServerState.DRAINING, ServerState.GONE]),
--- a/granitepoint/modelcheck/endings.py
+++ b/granitepoint/modelcheck/endings.py
@@ -1,4 +1,9 @@
-"""A state machine over both sides' connections: peers that close, reset, send early, more, late or slowly."""
+"""A state machine over the connections to clients and backends.
+
+The peers close and reset connections, send data early, late, slowly or in excess, and stop reading.
+The parameter `which` of a rule selects an element by its index, modulo the number of elements. With
+`handle_now` the proxy handles an event at once, else together with the events of the next rule.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +21,17 @@
     "endless header": b"GET /read HTTP/1.1\r\nX: " + b"a" * 40000,
     "blank line": b"\r\n",
 }
+# Seconds.
 DELAYS = [0.0, 0.001, 0.0015, 0.004, 0.02, 0.3]
 DURATIONS = [0.0, 0.001, 0.003, 0.05, 0.3, 1.0, 3.5]
 
 
 class ConnectionMachine(RuleBasedStateMachine):
+    """Checks one proxy between misbehaving clients and backends; the checks are those of ProxyModel."""
+
     model: ProxyModel
     model_class: ClassVar[type[ProxyModel]] = ProxyModel
-    statistics: ClassVar[Counter[str] | None] = None  # of what was run
+    statistics: ClassVar[Counter[str] | None] = None  # counters of what was run
 
     @initialize(
         seed=st.integers(0, 99),
@@ -44,13 +52,15 @@
         conn_idle: float,
         max_attempts: int,
     ) -> None:
+        """Starts a proxy with these settings and its backends."""
         self.model = type(self).model_class(
-            seed, backend_count, socket_limit, may_probe=may_probe, conn_idle=conn_idle, max_attempts=max_attempts,
-            may_cancel=may_cancel, cold_for=0.0, price_probe=0.06,
+            seed, backend_count, socket_limit, may_probe=may_probe, conn_idle=conn_idle,
+            max_attempts=max_attempts, may_cancel=may_cancel, cold_for=0.0, price_probe=0.06,
         )  # fmt: skip
         self.failed = False
 
     def client_at(self, which: int) -> Client | None:
+        """Returns one of the connected clients, or None if there is none."""
         clients = [c for c in self.model.clients if not c.closed and c.disconnected_at is None]
         return clients[which % len(clients)] if clients else None
 
@@ -75,8 +85,11 @@
         cross_next_answer: bool,
         time_span: float,
     ) -> None:
-        """Requests on one connection, one behind the other; the end of the last may be still to come, and a
-        further one may cross the next answer."""
+        """Sends pipelined requests on one connection.
+
+        `cut_bytes` at the end of the last request are held back. With `cross_next_answer` a further request
+        is sent at the moment in which the next answer arrives.
+        """
         client = None if new_connection else self.client_at(which)
         if client is None:
             client = self.model.connect_client()
@@ -106,6 +119,7 @@
         time_span=st.sampled_from([0.01, 0.0]),
     )
     def connect_and_request(self, count: int, name: str, time_span: float) -> None:
+        """Opens several connections and sends one request on each."""
         for _ in range(count):
             client = self.model.connect_client()
             if client is not None:
@@ -118,7 +132,10 @@
         time_span=st.sampled_from(DURATIONS),
     )
     def flood_and_disconnect(self, which: int, how: str, time_span: float) -> None:
-        """More than is read ahead of the answers, so that the end lies behind what is unread."""
+        """Sends more requests than the proxy reads ahead.
+
+        Then it closes or resets the connection if `how` says so, and the end lies behind unread data.
+        """
         client = self.client_at(which)
         if client is None or not client.can_send_request:
             return
@@ -131,12 +148,14 @@
 
     @rule(which=st.integers(0, 9))
     def request_at_next_answer(self, which: int) -> None:
+        """Lets a client send a request at the moment in which its next answer arrives."""
         client = self.client_at(which)
         if client is not None and client.input_valid and not client.unsent_rest:
             client.request_on_answer = True
 
     @rule(which=st.integers(0, 9), handle_now=st.booleans())
     def send_rest(self, which: int, handle_now: bool) -> None:
+        """Sends the part of a request that was held back."""
         client = self.client_at(which)
         if client is not None and client.unsent_rest:
             unsent_rest, client.unsent_rest = client.unsent_rest, b""
@@ -146,6 +165,7 @@
 
     @rule(which=st.integers(0, 9), kind=st.sampled_from(sorted(MALFORMED_INPUTS)))
     def send_malformed(self, which: int, kind: str) -> None:
+        """Sends input that is no valid request."""
         client = self.client_at(which) or self.model.connect_client()
         if client is not None:
             client.input_valid = False
@@ -159,6 +179,7 @@
         time_span=st.sampled_from(DURATIONS),
     )
     def client_disconnects(self, which: int, how: str, delay: float, time_span: float) -> None:
+        """Closes or resets a client's connection after a delay."""
         client = self.client_at(which)
         if client is not None:
             self.model.clock.schedule(delay, lambda: client.disconnect(how))
@@ -166,9 +187,10 @@
 
     @rule(which=st.integers(0, 9), reading=st.booleans())
     def switch_reading(self, which: int, reading: bool) -> None:
+        """Makes a client stop or resume reading."""
         client = self.client_at(which)
         if client is not None:
-            client.stopped_reading = True
+            client.has_paused_reading = True
             self.model.run_callback(lambda: client.link.peer_reads(reading))
 
     @precondition(lambda self: any(backend.running_id for backend in self.model.backend_connections))
@@ -192,6 +214,7 @@
         handle_now=st.booleans(),
     )
     def backend_answers(self, which: int, variant: str, then: str, delay: float, handle_now: bool) -> None:
+        """Lets a backend answer after a delay, correctly or not, and then close or reset the connection."""
         running = [backend for backend in self.model.backend_connections if backend.running_id]
         backend, request_id = running[which % len(running)], running[which % len(running)].running_id
         self.model.clock.schedule(delay, lambda: self.reply(backend, request_id, variant, then))
@@ -199,6 +222,7 @@
             self.run(0.0)
 
     def reply(self, backend: Backend, request_id: str | None, variant: str, then: str) -> None:
+        """Sends an answer of a backend, unless the request has been answered or the connection reused."""
         if request_id is None or backend.running_id != request_id:
             return
         body = f"done {request_id}".encode()
@@ -219,6 +243,7 @@
 
     @rule(delay=st.sampled_from(DELAYS), time_span=st.sampled_from([0.002, 0.02, 0.3]))
     def stall_later(self, delay: float, time_span: float) -> None:
+        """Stalls the process after a delay."""
         self.model.stall_time += time_span
         self.model.loop.call_later(delay, self.model.loop.stall, time_span)
 
@@ -230,12 +255,14 @@
         handle_now=st.booleans(),
     )
     def backend_acts(self, which: int, how: str, delay: float, handle_now: bool) -> None:
+        """Lets a backend do something else than answer, after a delay."""
         backend = self.model.backend_connections[which % len(self.model.backend_connections)]
         self.model.clock.schedule(delay, lambda: self.perform(backend, how))
         if handle_now:
             self.run(0.0)
 
     def perform(self, backend: Backend, how: str) -> None:
+        """Performs an action of `backend_acts` on a backend's connection."""
         link = backend.link
         if how == "close":
             link.peer_closes()
@@ -246,13 +273,14 @@
         elif how == "send early":
             link.peer_sends(build_answer(200, b"early"))
             exchange = link.protocol.exchange
-            if exchange is not None and exchange.sent:  # nobody can tell it from an answer
+            if exchange is not None and exchange.sent:  # cannot be distinguished from an answer to it
                 self.model.served_bodies.setdefault(backend.request_id, set()).add(b"early")
         else:
             self.model.loop.call_soon(link.peer_reads, how == "read")
 
     @rule(how=st.sampled_from(["at once", "at once", "late", "never", "refused"]))
     def set_connect_mode(self, how: str) -> None:
+        """Sets what happens to new connections to backends."""
         self.model.connect_mode = how
 
     @rule(
@@ -261,12 +289,13 @@
         whole_list=st.booleans(),
     )
     def list_changes(self, number: int, state: str, whole_list: bool) -> None:
+        """Publishes another state of a backend, as a change or in a full list."""
         if number in self.model.backend_states:
             self.guard(lambda: self.model.publish_state(number, state, whole_list))
 
     @rule(delay=st.sampled_from([0.0, 0.03, 0.2]), rounds=st.integers(1, 3))
     def serve(self, delay: float, rounds: int) -> None:
-        """All that backends have is served."""
+        """Lets the backends answer all requests that they hold, in several rounds."""
         for _ in range(rounds):
             self.run(delay)
             for backend in self.model.backend_connections:
@@ -276,27 +305,34 @@
 
     @rule(time_span=st.sampled_from(DURATIONS))
     def wait(self, time_span: float) -> None:
+        """Lets time pass."""
         self.run(time_span)
 
     @rule(time_span=st.sampled_from([0.02, 0.3, 1.0]))
     def stall(self, time_span: float) -> None:
+        """Stalls the process: time passes, but it gets no processor time."""
         self.model.stall_time += time_span
         self.model.loop.stall(time_span)
         self.run(0.0)
 
     @precondition(lambda self: self.model.shutdown_task is None)
-    @rule(one_in_three=st.integers(0, 2))
-    def terminate(self, one_in_three: int) -> None:
-        if one_in_three == 2:
+    @rule(choice=st.integers(0, 2))
+    def terminate(self, choice: int) -> None:
+        """Sends SIGTERM in one of three draws, so that most examples run on without it."""
+        if choice == 2:
             self.model.terminate()
             self.run(0.0)
 
     def run(self, time_span: float) -> None:
-        """With a span below 0 nothing is heard yet: it comes together with what the next rule does."""
+        """Runs the proxy for a time span in seconds.
+
+        If it is negative, the proxy does not run: it handles the data together with that of the next rule.
+        """
         if time_span >= 0:
             self.guard(lambda: self.model.run(time_span))
 
     def guard(self, operation: Any) -> None:
+        """Runs an operation; after an exception the final checks are skipped."""
         try:
             operation()
         except BaseException:
@@ -304,6 +340,7 @@
             raise
 
     def teardown(self) -> None:
+        """Shuts the proxy down, checks its final state and adds the counters of this example."""
         if not hasattr(self, "model"):
             return
         try:
--- a/granitepoint/modelcheck/fleet.py
+++ b/granitepoint/modelcheck/fleet.py
@@ -1,4 +1,4 @@
-"""Many instances before the same servers, with traffic by chance: what they send to those that start cold."""
+"""Simulates many instances in front of the same servers under random traffic, to check cold starts."""
 
 from __future__ import annotations
 
@@ -31,13 +31,16 @@
 )
 from granitepoint.modelcheck.world import BalancerFactory, RuleViolation
 
-IMMEDIATE_FAILURE_TIME = 0.005  # s of a failure at once
-DEFAULT_MAX_LIST_DELAY = 0.3  # s until the last instance was told, unless lists are late
+IMMEDIATE_FAILURE_TIME = 0.005  # s until an attempt fails that is not a timeout
+DEFAULT_MAX_LIST_DELAY = 0.3  # s until the last instance has a list, unless a rule delays lists further
 
 
 @dataclass(slots=True)
 class ColdStart:
-    """A server's cold start, and what it was sent since: when, and whether by one that was told of it."""
+    """A server's cold start and the attempts sent to the server since then.
+
+    A send is its time and whether the sending instance had been notified of the start.
+    """
 
     server: int
     started_at: float
@@ -46,17 +49,23 @@
 
 @dataclass(slots=True)
 class SimulatedServer:
-    """A server as it is. `status` and `share`: how it fails, and what share of its calls."""
+    """The actual state of a server: a queue that is served one call after another.
+
+    `failure_share` of its calls end with `status`, unless that is Status.OK.
+    """
 
     started_at: float = 0.0
-    completion_times: list[float] = field(default_factory=list)  # of what it holds, in the order of its end
+    completion_times: list[float] = field(default_factory=list)  # of the calls in progress, ascending
     status: Status = Status.OK
     failure_share: float = 0.0
 
 
 class ColdBudget:
-    """A cold server gets, from all instances together, no more than the settings allow it then: of N calls
-    of mean work no more than N + 2 x root of N + 2. Over two thirds of a breach come from those told."""
+    """Checks that all instances together send a cold server no more than the settings allow.
+
+    If the settings allow N calls of mean work, N + 2 * sqrt(N) + 2 calls are accepted. It is a violation
+    only if more than two thirds of the calls come from instances that were notified of the start.
+    """
 
     name = "cold"
 
@@ -64,7 +73,7 @@
         self.settings, self.work_per_call = settings, work_per_call
 
     def allowed_calls(self, age: float) -> float:
-        """Calls within `settings.fall_within` s, for a server that started `age` s ago."""
+        """Returns the calls that a server may get in `settings.fall_within` s, if it started `age` s ago."""
         settings = self.settings
         warm_up_progress = min(1.0, age / settings.cold_for) if settings.cold_for else 1.0
         capacity = settings.cold_from + (1 - settings.cold_from) * warm_up_progress
@@ -98,13 +107,17 @@
 
 
 class Fleet:
-    """Instances, servers and clients on one clock; `work` is a call's mean work in s of one server."""
+    """Instances, servers and clients on one simulated clock.
+
+    `work_per_call` is the mean work of a call, in seconds of one server. Instances are named by their index,
+    servers by their id.
+    """
 
     def __init__(
         self,
         settings: dict[str, object],
-        instances: int,
-        servers: int,
+        instance_count: int,
+        server_count: int,
         work_per_call: float,
         seed: int,
         balancer_factory: BalancerFactory,
@@ -116,46 +129,50 @@
         deadline = max(3.0, 10 * work_per_call)
         cls = RequestClass("call", 1.0, deadline * 0.4, deadline, 0.5, Effect.REPEATABLE)
         self.all_settings = [
-            Settings([cls], me=instance, balancers=instances, zone="a", **settings)  # type: ignore[arg-type]
-            for instance in range(instances)
+            Settings([cls], me=instance, balancers=instance_count, zone="a", **settings)  # type: ignore[arg-type]
+            for instance in range(instance_count)
         ]
         self.budget_rule = ColdBudget(self.all_settings[0], work_per_call)
-        self.servers = {server: SimulatedServer() for server in range(1, servers + 1)}
+        self.servers = {server: SimulatedServer() for server in range(1, server_count + 1)}
         self.now = 100.0
-        self.utilization = 0.5  # of what all servers can do
-        self.traffic_weights = [1.0] * instances
-        self.max_list_delay = DEFAULT_MAX_LIST_DELAY  # s by which lists may lag
+        self.utilization = 0.5  # offered load as a share of the capacity of all warm servers
+        self.traffic_weights = [1.0] * instance_count
+        self.max_list_delay = DEFAULT_MAX_LIST_DELAY  # s
         self.instances = [
             self.balancer_factory(instance_settings, seed * 1000 + instance_settings.me)
             for instance_settings in self.all_settings
         ]
-        self.generations = [0] * instances  # what is on its way to a former life is dropped
-        self.stalled_until = [0.0] * instances
-        self.known_starts: list[dict[int, float]] = [
-            {} for _ in range(instances)
-        ]  # the starts that it knows of
-        self.attempts_in_flight: list[dict[tuple[int, int], int]] = [
-            {} for _ in range(instances)
-        ]  # out, with server
-        self.attempts_sent: list[dict[int, int]] = [
-            {} for _ in range(instances)
-        ]  # attempts of each call so far
+        # How often each instance was replaced. Events for an earlier generation are dropped.
+        self.generations = [0] * instance_count
+        self.stalled_until = [0.0] * instance_count
+        # Per instance: the start time of each server, as far as the instance was notified of it.
+        self.known_starts: list[dict[int, float]] = [{} for _ in range(instance_count)]
+        # Per instance: the server of each attempt, by call and number.
+        self.attempts_in_flight: list[dict[tuple[int, int], int]] = [{} for _ in range(instance_count)]
+        # Per instance: the number of attempts of each call so far.
+        self.attempts_sent: list[dict[int, int]] = [{} for _ in range(instance_count)]
         self.cold_starts: dict[int, ColdStart] = {}
         self.ended_starts: list[ColdStart] = []
+        # Time, tie breaker, instance, its generation, and a function that makes the event.
         self.event_queue: list[tuple[float, int, int, int, Callable[[], Event | None]]] = []
-        for instance in range(instances):
+        for instance in range(instance_count):
             self.start_instance(instance)
         self.next_arrival = self.now + self.interarrival_time()
 
-    # what happens
+    # Changes to instances, servers, lists and traffic.
     def start_instance(self, instance: int) -> None:
+        """Schedules the first list of an instance, a saved one of all servers."""
         self.schedule(0.0, instance, partial(self.server_list, instance, ListKind.SAVED, list(self.servers)))
 
     def server_entry(self, server: int) -> ServerEntry:
+        """Returns the list entry of a server."""
         return ServerEntry(server, zone="a", started_at=self.servers[server].started_at)
 
     def server_list(self, instance: int, kind: ListKind, servers: list[int]) -> Event:
-        """As it is when it is told: lists come in their order, so none brings back an older state."""
+        """Makes a list of the current state and records that the instance was notified of it.
+
+        It is called at the time of the delivery, so no list brings back an older state.
+        """
         entries = [self.server_entry(server) for server in servers]
         for entry in entries:
             self.known_starts[instance][entry.server] = max(
@@ -164,7 +181,7 @@
         return ServerList(kind, entries)
 
     def restart_server(self, server: int) -> None:
-        """The process dies and another one starts in its place; all are told, each somewhat later."""
+        """Replaces a server by a cold process and sends all instances a list, each after its own delay."""
         simulated = self.servers[server]
         simulated.started_at, simulated.completion_times = self.now, []
         if server in self.cold_starts:
@@ -173,6 +190,7 @@
         self.publish_list([server])
 
     def publish_list(self, servers: list[int], kind: ListKind = ListKind.INCREMENTAL) -> None:
+        """Sends all instances a list, each after a random delay of up to `max_list_delay`."""
         for instance in range(len(self.instances)):
             self.schedule(
                 self.max_list_delay * self.rng.random(),
@@ -181,7 +199,7 @@
             )
 
     def drop_from_list(self, server: int) -> None:
-        """A whole list without a server, and soon after one with it."""
+        """Sends all instances a full list without a server and soon after that one with it."""
         others = [other for other in self.servers if other != server]
         for instance in range(len(self.instances)):
             self.schedule(0.01, instance, partial(self.server_list, instance, ListKind.FULL, others))
@@ -190,13 +208,14 @@
             )
 
     def remove_and_restart(self, server: int) -> None:
+        """Lists a server as gone and restarts it."""
         removed = [ServerEntry(server, zone="a", state=ServerState.GONE)]
         for instance in range(len(self.instances)):
             self.schedule(0.0, instance, lambda: ServerList(ListKind.INCREMENTAL, removed))
         self.restart_server(server)
 
     def restart_instance(self, instance: int) -> None:
-        """The instance's process ends, and another one takes its place."""
+        """Replaces an instance by a new process, which has no state."""
         self.generations[instance] += 1
         self.instances[instance] = self.balancer_factory(
             self.all_settings[instance], self.rng.randrange(1 << 30)
@@ -209,21 +228,26 @@
         self.start_instance(instance)
 
     def set_traffic_shares(self, seed: int, skew: float) -> None:
-        """Traffic moves between the instances; with more skew some get several times the mean."""
+        """Redistributes the traffic between the instances; with more skew some get several times the mean."""
         rng = Random(seed)
         self.traffic_weights = [rng.expovariate(1) ** skew + 0.01 for _ in self.traffic_weights]
 
     def stall(self, instance: int, time_span: float) -> None:
+        """Delays the events of an instance for a time span in seconds."""
         self.stalled_until[instance] = self.now + time_span
 
-    # one clock for all
+    # The event queue.
     def schedule(self, delay: float, instance: int, make_event: Callable[[], Event | None]) -> None:
+        """Queues an event for an instance; `make_event` is called at that time and may return None."""
         heapq.heappush(
             self.event_queue,
             (self.now + delay, next(self.event_order), instance, self.generations[instance], make_event),
         )
 
     def run(self, time_span: float) -> None:
+        """Lets time pass, in seconds, and checks the budgets of the current cold starts.
+
+        Raises RuleViolation if a budget is exceeded."""
         end = self.now + time_span
         while True:
             at = self.event_queue[0][0] if self.event_queue else math.inf
@@ -250,6 +274,7 @@
             self.budget_rule.check(start)
 
     def deliver(self, instance: int, event: Event) -> None:
+        """Gives an instance one event and carries out its actions."""
         for action in self.instances[instance].handle(self.now, [event]):
             if isinstance(action, SetTimer):
                 self.schedule(action.delay, instance, partial(Timer, action.token))
@@ -261,18 +286,20 @@
                 self.schedule_outcome(instance, action.call, action.attempt, Status.CANCELLED, 0.0)
 
     def interarrival_time(self) -> float:
+        """Returns a random time until the next request, in seconds."""
         return self.rng.expovariate(self.utilization / self.work_per_call * len(self.servers))
 
     def add_arrival(self) -> None:
-        """The next request of all, at an instance by the share of each."""
+        """Adds the next request, at an instance chosen by the traffic weights."""
         self.now = self.next_arrival
         self.next_arrival += self.interarrival_time()
         (instance,) = self.rng.choices(range(len(self.traffic_weights)), self.traffic_weights)
         arrival = Arrival(next(self.call_ids), "call", self.all_settings[instance].classes[0].deadline)
         self.schedule(0.0, instance, lambda: arrival)
 
-    # servers
+    # Servers.
     def capacity_share(self, server: int) -> float:
+        """Returns the capacity of a server as a share of that of a warm one."""
         settings = self.all_settings[0]
         age = self.now - self.servers[server].started_at
         if not self.servers[server].started_at or age >= settings.cold_for:
@@ -280,11 +307,13 @@
         return settings.cold_from + (1 - settings.cold_from) * age / settings.cold_for
 
     def calls_in_progress(self, server: int) -> int:
+        """Returns the number of calls that a server holds and forgets those that have ended."""
         simulated = self.servers[server]
         simulated.completion_times = [end for end in simulated.completion_times if end > self.now]
         return len(simulated.completion_times)
 
     def answer_probe(self, instance: int, server: int) -> None:
+        """Schedules the result of a probe."""
         simulated = self.servers[server]
         unresponsive = (
             simulated.status in (Status.TIMEOUT, Status.CONNECT_FAILED) and simulated.failure_share >= 1
@@ -295,6 +324,7 @@
         self.schedule(delay, instance, lambda: Probed(server, status, delay, report))
 
     def execute_send(self, instance: int, action: Send) -> None:
+        """Carries out an attempt: adds it to the server's queue, or fails it, and schedules its outcome."""
         server, simulated = action.server, self.servers[action.server]
         attempt = self.attempts_sent[instance].get(action.call, 0)
         self.attempts_sent[instance][action.call] = attempt + 1
@@ -320,6 +350,8 @@
     def schedule_outcome(
         self, instance: int, call: int, attempt: int, status: Status, latency: float
     ) -> None:
+        """Schedules the end of an attempt, unless it ends earlier in another way."""
+
         def outcome() -> Event | None:
             server = self.attempts_in_flight[instance].pop((call, attempt), None)
             if server is None:
--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -1,4 +1,7 @@
-"""A state machine over one instance: any event, status, order and timing that the wire allows."""
+"""A state machine over one instance: all events, statuses, orders and timings that the protocol allows.
+
+The parameter `which` of a rule selects an element by its index, modulo the number of elements.
+"""
 
 from __future__ import annotations
 
@@ -29,15 +32,16 @@
 from granitepoint.modelcheck.rules import RULES
 from granitepoint.modelcheck.world import Attempt, BalancerFactory, Call, Rule, World
 
-CONCURRENCY_LIMITS = (1.0, 4.0, 30.0)  # where W starts, so that all of it is reached in few steps
+# Initial concurrency limits, spread so that few steps reach the whole range.
+CONCURRENCY_LIMITS = (1.0, 4.0, 30.0)
 
 
 class InstanceMachine(RuleBasedStateMachine):
-    """The rules of one instance. `make` is what is checked; `checkers` by what."""
+    """Checks the instance that `balancer_factory` makes with the rules in `checkers`."""
 
     balancer_factory: ClassVar[BalancerFactory] = Balancer
     checkers: ClassVar[tuple[type[Rule], ...]] = RULES
-    statistics: ClassVar[Counter[str] | None] = None  # of what was run
+    statistics: ClassVar[Counter[str] | None] = None  # counters of what was run
     world: World
     last_id = 0
 
@@ -56,6 +60,9 @@
         window: float,
         server_count: int,
     ) -> None:
+        """Creates the instance and its first list.
+
+        `window` is the initial concurrency limit, `now` the initial time in seconds."""
         balancer_factory = type(self).balancer_factory
         self.world = World(
             Settings(**options), seed, [rule() for rule in self.checkers], balancer_factory, now
@@ -65,9 +72,11 @@
         self.world.add_list(ServerList(ListKind.SAVED, list_entries))
 
     def in_flight(self) -> list[tuple[Call, Attempt]]:
+        """Returns all attempts in flight with their calls."""
         return [(call, attempt) for call in self.world.open_calls.values() for attempt in call.in_flight]
 
     def unfinished(self) -> list[Call]:
+        """Returns the calls that have not ended."""
         return [call for call in self.world.open_calls.values() if not call.ended]
 
     @rule(
@@ -89,6 +98,7 @@
         resent: bool,
         stated: float,
     ) -> None:
+        """Adds valid requests of one class; the tenant and the stated work may be unusable."""
         classes = self.world.settings.classes
         for _ in range(count):
             self.last_id += 1
@@ -100,13 +110,14 @@
         budget=st.sampled_from([0.0, -1.0, math.inf]),
     )
     def arrive_invalid(self, class_name: str, budget: float) -> None:
+        """Adds a request of a possibly unknown class with a budget that is no valid time."""
         self.last_id += 1
         self.world.add_arrival(Arrival(self.last_id, class_name, budget))
 
     @precondition(lambda self: self.last_id > 0)
     @rule(which=st.integers(0, 99), class_index=st.integers(0, 3))
     def arrive_again(self, which: int, class_index: int) -> None:
-        """An id that has been used: no new request."""
+        """Lets a request with an id arrive that was used before, which is no new request."""
         classes = self.world.settings.classes
         self.world.add_arrival(
             Arrival(1 + which % self.last_id, classes[class_index % len(classes)].name, 1.0)
@@ -122,6 +133,9 @@
     def finish_attempt(
         self, which: int, status: Status, report: dict[str, float] | None, seconds_idle: float | None
     ) -> None:
+        """Ends an attempt with any status and load report.
+
+        `seconds_idle` is how long its connection had been idle, None if that is unknown."""
         in_flight = self.in_flight()
         call, attempt = in_flight[which % len(in_flight)]
         self.world.finish_attempt(call, attempt, status, report, seconds_idle)
@@ -134,7 +148,7 @@
         via_stall=st.booleans(),
     )
     def finish_attempt_late(self, which: int, status: Status, delay: float, via_stall: bool) -> None:
-        """Some time goes by first; the instance may stand still meanwhile."""
+        """Ends an attempt after a delay, during which the instance may be stalled."""
         call, attempt = (in_flight := self.in_flight())[which % len(in_flight)]
         (self.world.stall if via_stall else self.world.advance_time)(delay)
         if attempt.status is None:
@@ -143,7 +157,7 @@
     @precondition(lambda self: self.in_flight())
     @rule(status=st.sampled_from(Status), server=st.integers(0, draw.MAX_SERVERS))
     def finish_attempts(self, status: Status, server: int) -> None:
-        """All that is out ends alike, or all that is out on one server."""
+        """Ends all attempts in flight with the same status, or those on one server (0: on all)."""
         for call, attempt in self.in_flight():
             if server in (0, attempt.server):
                 self.world.finish_attempt(call, attempt, status)
@@ -153,6 +167,7 @@
     )
     @rule(which=st.integers(0, 99))
     def start_stream(self, which: int) -> None:
+        """Starts the stream of an attempt of a streaming class."""
         candidates = [
             (call, attempt)
             for call, attempt in self.in_flight()
@@ -164,6 +179,7 @@
     @precondition(lambda self: self.unfinished())
     @rule(which=st.integers(0, 99))
     def disconnect_client(self, which: int) -> None:
+        """Lets the client of a call disconnect."""
         calls = self.unfinished()
         self.world.disconnect_client(calls[which % len(calls)])
 
@@ -174,7 +190,7 @@
         kind=st.integers(0, 4),
     )
     def stray_event(self, id: int, attempt: int, status: Status, kind: int) -> None:
-        """News of what is over, or was never there."""
+        """Adds an event about a call, attempt, timer or probe that has ended or never existed."""
         call = self.world.calls.get(id)
         known = call is not None and any(a.number == attempt and a.status is None for a in call.attempts)
         if kind == 0 and not known:
@@ -194,7 +210,10 @@
         calls=st.integers(0, 9),
     )
     def receive_list(self, kind: ListKind, list_entries: list[draw.EntryParameters], calls: int) -> None:
-        """A whole list holds all servers as they were, but for the lines. Calls come in the same batch."""
+        """Adds a server list, and calls that arrive in the same batch.
+
+        A full list holds all servers in their initial state, except for those in `list_entries`.
+        """
         changed = {
             parameters[0]: draw.server_entry(
                 *parameters[:2], self.world.now if parameters[2] else 0.0, parameters[3]
@@ -221,7 +240,7 @@
         statuses=st.lists(st.sampled_from(Status), min_size=1, max_size=4),
     )
     def traffic(self, seed: int, calls: int, mean_gap: float, statuses: list[Status]) -> None:
-        """Many calls, by chance: each comes some time after the one before, and some that are out end."""
+        """Adds random calls with random gaps and ends some of the attempts in flight after each."""
         rng = Random(seed)
         classes = self.world.settings.classes
         for _ in range(calls):
@@ -241,27 +260,31 @@
         report=draw.load_reports,
     )
     def finish_probe(self, which: int, status: Status, report: dict[str, float] | None) -> None:
+        """Ends a probe in flight."""
         self.world.finish_probe(which % len(self.world.probes_in_flight), status, report)
 
     @rule(server=st.integers(1, draw.MAX_SERVERS), idle_for=st.sampled_from([0.0, 0.5, 30.0]))
     def close_idle(self, server: int, idle_for: float) -> None:
+        """Adds the event that a server closed a connection that had been idle for this many seconds."""
         self.world.pending_events.append(ClosedAtRest(server, idle_for))
 
     @rule(time_span=st.sampled_from(draw.DURATIONS))
     def wait(self, time_span: float) -> None:
+        """Lets time pass."""
         self.world.advance_time(time_span)
 
     @rule(time_span=st.sampled_from([0.2, 0.25, 1.0, 4.0]), due_first=st.booleans())
     def stall(self, time_span: float, due_first: bool) -> None:
+        """Stalls the instance, then delivers all events in one batch, the due ones first or last."""
         self.world.stall(time_span, due_first)
 
     def teardown(self) -> None:
-        """All comes to its end."""
+        """Lets all calls end, checks that none is left and adds the counters of this example."""
         if not hasattr(self, "world") or self.world.failed:
             return
         self.world.finish()
         for checker in self.world.rules:
-            checker.check(not self.world.open_calls, f"calls {list(self.world.open_calls)} do not end")
+            checker.check(not self.world.open_calls, f"calls {list(self.world.open_calls)} never end")
         if self.statistics is not None:
             attempts = sum(len(call.attempts) for call in self.world.calls.values())
             totals = {
--- a/granitepoint/modelcheck/proxy.py
+++ b/granitepoint/modelcheck/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy of the real net code and module between peers of the model, with the checks of what passes."""
+"""A proxy with the real network code and balancer between simulated peers, with checks of its traffic."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from granitepoint.net.listing import read_listing
 
 UNUSED_ADDRESS = ("10.9.9.9", 9)
-RELEASE_GRACE_S = 0.02  # s
-IDLE_CLIENT_TIMEOUT_S = 3.0  # s from the connect in which one that asks nothing gets an error or a close
-SHUTDOWN_LIMIT_S = 8.0  # s after SIGTERM by which it has surely ended
-RUN_STEP_S = 0.5  # s
-TIME_TOLERANCE_S = 1e-9  # s
-MAX_ANSWER_DELAY_S = 0.6  # s after its time by which an answer has come, or it is lost
+RELEASE_GRACE_S = 0.02  # a connection may be idle for this long before it counts as unused
+IDLE_CLIENT_TIMEOUT_S = 3.0  # from the connect: a client without a request gets an error or a close by then
+SHUTDOWN_LIMIT_S = 8.0  # from SIGTERM: the process has exited by then
+RUN_STEP_S = 0.5
+TIME_TOLERANCE_S = 1e-9  # for rounding errors
+MAX_ANSWER_DELAY_S = 0.6  # from the end of the budget: an answer that comes later counts as missing
 CLASSES = [
     RequestClass("read", 1.0, 0.5, 1.2, 0.5),
     RequestClass("pay", 6.0, 0.8, 2.0, 0.5, Effect.BY_KEY, "zone", 0.4),
@@ -35,7 +35,7 @@
 
 
 class ErrorLogHandler(logging.Handler):
-    """Keeps what is logged as an error: a fault that a callback has caught."""
+    """Collects log records of level ERROR: exceptions that a callback has caught."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """A request as its client sent it."""
+    """A request as its client sent it, with its answer. Times are in seconds."""
 
     id: str
     cls: RequestClass
     budget: float
-    end_offset: int  # place of its last byte in all that the client has sent
-    after_close_request: bool  # sent behind one that asked for the close
-    read_at: float | None = None  # when the proxy had read it whole
+    end_offset: int  # of its last byte in all data of the client
+    after_close_request: bool  # sent after a request with Connection: close
+    read_at: float | None = None  # when the proxy had read it completely
     code: int = 0
     body: bytes = b""
     answered_at: float = 0.0
@@ -62,16 +62,16 @@
 
 @dataclass(slots=True)
 class ReceivedAttempt:
-    """An attempt that came whole to a backend."""
+    """An attempt that a backend received completely."""
 
     received_at: float
     zone: int
     backend: Backend
-    rejected: bool = False  # it was turned away
+    rejected: bool = False  # by an answer that says that it never ran
 
 
 class Client(Peer):
-    """Sends requests and reads their answers, in order."""
+    """A client connection: sends requests and reads their answers, in order."""
 
     def __init__(self, model: ProxyModel) -> None:
         self.model = model
@@ -79,43 +79,46 @@
         self.bytes_sent = 0
         self.disconnected_at: float | None = None
         self.connected_at = model.clock.now
-        self.last_received_at = 0.0  # the last bytes
-        self.input_valid = True  # has sent nothing but whole requests
-        self.close_requested = False  # has asked for the close of the connection
-        self.stopped_reading = False  # has not taken what came, for a while
-        self.close_announced = False
-        self.bytes_read_at_close = math.inf  # bytes that the proxy had read when it told its close
+        self.last_received_at = 0.0
+        self.input_valid = True  # has sent no malformed data
+        self.close_requested = False  # has sent a request with Connection: close
+        self.has_paused_reading = False  # has paused reading at some time
+        self.close_announced = False  # the proxy has sent Connection: close
+        self.bytes_read_at_close = math.inf  # what the proxy had read when it announced the close
         self.closed = False
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
-        self.request_on_answer = False  # its next request goes out in the moment in which an answer comes
-        self.unsent_rest = b""  # the rest of a request that has begun
+        self.request_on_answer = False  # sends a request when an answer arrives
+        self.unsent_rest = b""  # of a request that was sent in part
 
     @property
     def unanswered(self) -> list[SentRequest]:
+        """The requests that have no answer yet."""
         return [request for request in self.requests if not request.code]
 
     @property
     def can_send_request(self) -> bool:
-        """Whether a further request makes sense behind what it has sent."""
+        """Whether a further request can be sent after the data sent so far."""
         return not (self.unsent_rest or self.close_announced or self.close_requested)
 
     def is_owed(self, request: SentRequest) -> bool:
-        """Whether the proxy owes it an answer: it has read it, and had done so when it told its close."""
+        """Whether the proxy must answer a request: it has read it, before it announced a close if it did so."""
         if (
             self.disconnected_at is not None
             or not self.input_valid
-            or self.stopped_reading
+            or self.has_paused_reading
             or request.after_close_request
         ):
             return False
         return request.end_offset <= min(self.link.bytes_read, self.bytes_read_at_close)
 
     def send(self, data: bytes) -> None:
+        """Sends data to the proxy."""
         self.bytes_sent += len(data)
         self.link.peer_sends(data)
 
     def disconnect(self, how: str) -> None:
+        """Closes the connection, or resets it if `how` is "reset"."""
         if self.closed or self.disconnected_at is not None:
             return
         if how == "reset":
@@ -140,7 +143,7 @@
         self.closed = True
         self.model.on_client_closed(self)
 
-    # parser callbacks
+    # Callbacks of the parser.
     def on_body(self, chunk: bytes) -> None:
         self.body += chunk
 
@@ -156,13 +159,13 @@
 
 
 class Backend(Peer):
-    """A connection at a backend: requests as they come, and what has been answered."""
+    """A connection to a backend, which receives requests and sends answers when the model says so."""
 
     def __init__(self, model: ProxyModel, address: tuple[str, int]) -> None:
         self.model, self.number = model, int(address[0].rpartition(".")[2])
         self.parser = httptools.HttpRequestParser(self)
         self.request_id = ""
-        self.running_id: str | None = None  # a request that has come whole and has no answer
+        self.running_id: str | None = None  # id of a complete request without an answer
         self.is_probe = False
 
     def on_connected(self) -> None:
@@ -175,10 +178,11 @@
         self.model.backend_connections.remove(self)
 
     def send_answer(self, data: bytes) -> None:
+        """Sends the answer to the request that the backend holds."""
         self.running_id = None
         self.link.peer_sends(data)
 
-    # parser callbacks
+    # Callbacks of the parser.
     def on_message_begin(self) -> None:
         self.request_id = ""
 
@@ -199,7 +203,7 @@
 
 
 class DiscoveryStub:
-    """Stands in for the client of discovery: lists come from the model alone."""
+    """Stand-in for DiscoveryClient: all lists come from the model."""
 
     pushed = False
     version = 0
@@ -216,7 +220,10 @@
 
 
 class ProxyModel:
-    """One proxy between clients and backends, with the checks of what passes through it."""
+    """A proxy in this process between simulated clients and backends, with checks of its traffic.
+
+    It replaces `time` and `select` in the modules of the proxy until `close` is called.
+    """
 
     def __init__(self, seed: int, backend_count: int, socket_limit: int, **settings_overrides: Any) -> None:
         self.clock = Clock(1000.0)
@@ -236,7 +243,7 @@
         logging.getLogger("granitepoint").setLevel(logging.ERROR)
         logging.getLogger("granitepoint").propagate = False
         self.clients: list[Client] = []
-        self.backend_connections: list[Backend] = []  # their open connections
+        self.backend_connections: list[Backend] = []
         self.requests: dict[str, SentRequest] = {}
         self.client_by_request: dict[str, Client] = {}
         self.received_attempts: dict[str, list[ReceivedAttempt]] = {}  # by id
@@ -247,13 +254,13 @@
         self.version = 1
         self.shutdown_task: asyncio.Task[None] | None = None
         self.sigterm_at = math.inf
-        self.exited = False  # the process
-        self.stall_time = 0.0  # s that the process has stood still in all
+        self.exited = False  # the proxy's process
+        self.stall_time = 0.0  # s, in total
         settings = Settings(
             CLASSES, zone="a", **{"answer_slack": 0.02, "quantum": 0.005, **settings_overrides}
         )
         self.backend_states = {number: "Ready" for number in range(1, backend_count + 1)}
-        self.notified_states = dict(self.backend_states)  # as the proxy has heard of it
+        self.notified_states = dict(self.backend_states)  # by the lists that the proxy received
         config = Config(
             "n", UNUSED_ADDRESS, UNUSED_ADDRESS, seed, socket_limit, 64.0, self.list_document(True), settings
         )
@@ -270,6 +277,7 @@
         self.loop.run_until_complete(start())
 
     def list_document(self, full: bool, *numbers: int) -> dict[str, Any]:
+        """Returns a list of discovery: all backends, or the given ones as changes."""
         endpoints = [
             {"name": f"s-{number}", "address": f"10.0.0.{number}:80", "zone": "ab"[number % 2], "type": "m",
              "group": 0, "status": self.backend_states[number], "since_ms": 0}
@@ -278,7 +286,7 @@
         return {"index": self.version, "snapshot": full, "endpoints": endpoints}
 
     def publish_state(self, number: int, state: str, full: bool) -> None:
-        """Discovery lists a backend in another state, among changes or in a whole list."""
+        """Publishes another state of a backend, as a change or in a full list."""
         self.version += 1
         self.backend_states[number] = state
         list_document = self.list_document(True) if full else self.list_document(False, number)
@@ -290,6 +298,9 @@
         self.run_callback(deliver)
 
     async def connect(self, address: tuple[str, int]) -> Peer:
+        """Decides about a new connection to a backend as `connect_mode` says.
+
+        Raises ConnectionRefusedError if it is refused."""
         how = self.connect_mode
         if how == "refused":
             raise ConnectionRefusedError("refused")
@@ -300,11 +311,15 @@
         return Backend(self, address)
 
     def run_callback(self, callback: Any) -> None:
+        """Runs a callback in the event loop and checks the rules."""
         self.loop.call_soon(callback)
         self.run(0.0)
 
     def run(self, time_span: float) -> None:
-        """In pieces, so that nothing is asked of a process that has ended."""
+        """Lets time pass, in seconds, and checks the rules every RUN_STEP_S until the process exits.
+
+        Raises RuleViolation.
+        """
         end = self.clock.now + time_span
         while not self.exited:
             self.loop.run_for(min(RUN_STEP_S, max(0.0, end - self.clock.now)))
@@ -313,13 +328,13 @@
                 break
 
     def record_violation(self, rule: str, text: str) -> None:
-        """Kept until the turn is over: the proxy would take an exception here for its own."""
+        """Records a violation for `check`: the proxy would handle an exception here as one of its own."""
         if not self.exited:
             self.violations.append(RuleViolation(rule, text))
 
-    # the clients
+    # Clients.
     def connect_client(self) -> Client | None:
-        """None: nobody listens any more."""
+        """Opens a client connection; returns None if the proxy does not listen any more."""
         if self.clock.now > self.sigterm_at + program.LAST_ACCEPT:
             return None
         client = Client(self)
@@ -336,8 +351,10 @@
     def create_request(
         self, client: Client, cls: RequestClass, budget: float, close_requested: bool = False
     ) -> bytes:
-        """A further request of this client, to be sent behind all that it has sent. `budget` is in s; the
-        last one asks for the close of the connection."""
+        """Returns a new request, to be sent after all data of this client. `budget` is in seconds.
+
+        With `close_requested` the request has the header Connection: close.
+        """
         self.request_count += 1
         id = f"{self.request_count:016d}"
         method = "GET" if cls.effect is Effect.REPEATABLE else "POST"
@@ -354,7 +371,7 @@
         return data
 
     def is_overdue(self, client: Client) -> bool:
-        """Whether it was left for 3 s with neither a close nor an error, and asks nothing whole."""
+        """Whether a client without a complete request got neither an error nor a close in time."""
         idle_time = self.clock.now - max(client.connected_at, client.last_received_at)
         no_request_pending = not client.input_valid or not any(
             a.end_offset <= client.bytes_sent for a in client.unanswered
@@ -366,17 +383,18 @@
         )
 
     def on_answer(self, client: Client, code: int, body: bytes) -> None:
+        """Checks an answer that a client received."""
         if not client.input_valid:
-            return  # nobody can tell what it answers
+            return  # unknown which request it answers
         unanswered = client.unanswered
         if not unanswered:
             if not (code == 408 and client.unsent_rest):
-                self.record_violation("answer", f"an answer {code} that nobody asked for")
+                self.record_violation("answer", f"an answer {code} without a request")
             return
         request = unanswered[0]
         request.code, request.body, request.answered_at = code, body, self.clock.now
         if code == 200 and body not in self.served_bodies.get(request.id, set()):
-            self.record_violation("answer", f"call {request.id} is served with what no backend made for it")
+            self.record_violation("answer", f"call {request.id} is answered with a body of no backend")
         if code in (429, 503):
             group_all = request.cls.effect is Effect.BY_KEY and request.cls.group == "all"
             may_have_run = [
@@ -384,12 +402,12 @@
             ]
             if may_have_run and request.cls.effect is not Effect.REPEATABLE and not group_all:
                 self.record_violation(
-                    "repeat", f"call {request.id} may have run and is refused as if harmless"
+                    "repeat", f"call {request.id} may have run but is refused as safe to retry"
                 )
 
     def on_client_closed(self, client: Client) -> None:
-        """The proxy ends a connection: all that it has read there whole is answered."""
-        if client.disconnected_at is not None or not client.input_valid or client.stopped_reading:
+        """Checks that the proxy answered all requests that it had read on a connection that it closes."""
+        if client.disconnected_at is not None or not client.input_valid or client.has_paused_reading:
             return
         just_answered = [
             request.id
@@ -397,53 +415,55 @@
             if request.code and request.answered_at == self.clock.now
         ]
         if just_answered and client.link.closed and client.link.reset_by_proxy:
-            self.record_violation("answer", f"the answer to {just_answered} goes with a reset")
+            self.record_violation("answer", f"the answer to {just_answered} is lost by a reset")
         unanswered_ids = [request.id for request in client.unanswered if client.is_owed(request)]
         if unanswered_ids:
-            self.record_violation("answer", f"a connection ends with {unanswered_ids} unanswered")
+            self.record_violation("answer", f"a connection is closed with {unanswered_ids} unanswered")
 
-    # the backends
+    # Backends.
     def on_attempt_started(self, id: str, backend: Backend) -> None:
+        """Checks an attempt of which a backend has received the id."""
         client = self.client_by_request.get(id)
         if client is None:
-            self.record_violation("repeat", f"call {id} came from no client")
+            self.record_violation("repeat", f"call {id} was sent by no client")
             return
         if client.disconnected_at is not None and client.disconnected_at < self.clock.now:
             self.record_violation(
                 "answer",
-                f"call {id} is sent on {self.clock.now - client.disconnected_at:g} s after its caller left",
+                f"call {id} is forwarded {self.clock.now - client.disconnected_at:g} s after its client left",
             )
         if self.requests[id].code:
-            self.record_violation("answer", f"call {id} is sent on after its answer")
+            self.record_violation("answer", f"call {id} is forwarded after its answer")
         if self.notified_states[backend.number] != "Ready":
             self.record_violation(
                 "drain",
-                f"call {id} is sent to backend {backend.number}: {self.notified_states[backend.number]}",
+                f"call {id} is forwarded to backend {backend.number}: {self.notified_states[backend.number]}",
             )
 
     def on_attempt_received(self, id: str, backend: Backend) -> None:
+        """Checks and records an attempt that a backend has received completely."""
         cls = self.requests[id].cls
         zone = backend.number % 2
         earlier = self.received_attempts.setdefault(id, [])
         first = next((attempt for attempt in earlier if not attempt.rejected), None)
         if first is not None and cls.effect is Effect.ONCE:
-            self.record_violation("repeat", f"call {id} came a second time")
+            self.record_violation("repeat", f"call {id} may run a second time")
         if first is not None and cls.effect is Effect.BY_KEY:
             if cls.group == "zone" and zone != first.zone:
-                self.record_violation("repeat", f"call {id} came to another zone")
+                self.record_violation("repeat", f"call {id} is repeated in another zone")
             if self.clock.now - first.received_at > cls.window:
-                self.record_violation("repeat", f"call {id} came again after its window")
+                self.record_violation("repeat", f"call {id} is repeated after its deduplication window")
         earlier.append(ReceivedAttempt(self.clock.now, zone, backend))
 
     def on_attempts_rejected(self, backend: Backend) -> None:
-        """What has come whole there is answered as never seen."""
+        """Records that the backend rejects the request that it holds, so that it never ran there."""
         assert backend.running_id is not None
         for attempt in self.received_attempts[backend.running_id]:
             attempt.rejected = attempt.rejected or attempt.backend is backend
 
-    # all
+    # The whole proxy.
     def check(self) -> None:
-        """Raises RuleBroken. Called whenever time has passed."""
+        """Raises RuleViolation if a rule is violated. Called whenever time has passed."""
         if self.violations:
             raise self.violations[0]
         if self.shutdown_task is not None and self.shutdown_task.done() and not self.exited:
@@ -458,11 +478,11 @@
             if (
                 client.disconnected_at is None
                 and not client.closed
-                and not client.stopped_reading
+                and not client.has_paused_reading
                 and self.is_overdue(client)
             ):
                 raise RuleViolation(
-                    "peer", f"a connection that asks nothing is {now - client.connected_at:g} s old"
+                    "peer", f"a connection without a request is {now - client.connected_at:g} s old"
                 )
             for request in client.requests:
                 if request.read_at is None and request.end_offset <= client.link.bytes_read:
@@ -480,35 +500,38 @@
                     and now - previous_answer_at - request.budget > MAX_ANSWER_DELAY_S + self.stall_time
                 ):
                     raise RuleViolation(
-                        "answer", f"call {request.id} has no answer {delay:g} s after its time"
+                        "answer", f"call {request.id} has no answer {delay:g} s after its budget"
                     )
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Starts the graceful shutdown, as SIGTERM does."""
         self.sigterm_at = self.clock.now
         self.shutdown_task = self.loop.create_task(program.drain(self.server, self.driver))
 
     def finish(self) -> None:
-        """The proxy is told to end, and has ended by the time of its SIGKILL; nothing is left open."""
+        """Shuts the proxy down and checks that it exits before a SIGKILL and leaves nothing open."""
         if self.shutdown_task is None:
             self.terminate()
         self.run(SHUTDOWN_LIMIT_S)
         if not self.exited:
-            raise RuleViolation("kept", "the proxy does not end")
+            raise RuleViolation("kept", "the proxy does not exit")
 
     def check_final_state(self) -> None:
+        """Checks after the exit that no request is unanswered and nothing is left open.
+
+        Raises RuleViolation, or the exception that ended the shutdown."""
         assert self.shutdown_task is not None
         self.shutdown_task.result()
         unanswered = [
             request for client in self.clients for request in client.unanswered if client.is_owed(request)
         ]
         if unanswered:
-            raise RuleViolation("answer", f"{[each.id for each in unanswered]} are unanswered at the end")
+            raise RuleViolation("answer", f"{[each.id for each in unanswered]} are unanswered at exit")
         remaining = {
             "calls": len(self.driver.calls),
-            # The process ends on attempts whose callers have left: nobody waits for these.
-            "ids beside those of attempts": len(self.driver.active_ids) - len(self.driver.in_flight),
-            "connections of callers": sum(not each.leaving for each in self.server.connections),
+            # The process may exit during attempts whose clients have disconnected: nobody waits for these.
+            "ids without an attempt": len(self.driver.active_ids) - len(self.driver.in_flight),
+            "client connections": sum(not each.leaving for each in self.server.connections),
         }
         if any(remaining.values()):
             raise RuleViolation("kept", f"left open: {remaining}")
@@ -522,11 +545,12 @@
         if self.driver.upstreams.open_connections != len(self.backend_connections):
             raise RuleViolation(
                 "kept",
-                f"{self.driver.upstreams.open_connections} connections counted, {len(self.backend_connections)} open",
+                f"{self.driver.upstreams.open_connections} connections are counted, "
+                f"{len(self.backend_connections)} are open",
             )
 
     def close(self) -> None:
-        """Puts back what stood in the modules before. The model can't be used any more."""
+        """Restores the patched modules and logging; the model cannot be used any more."""
         for module, name, original in self.saved_attributes:
             if original is not None:
                 setattr(module, name, original)
@@ -542,5 +566,6 @@
 
 
 def build_answer(code: int, body: bytes, *headers: str) -> bytes:
+    """Returns the bytes of an HTTP answer."""
     lines = [f"HTTP/1.1 {code} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/granitepoint/modelcheck/sockets.py
+++ b/granitepoint/modelcheck/sockets.py
@@ -1,6 +1,6 @@
-"""Stand-ins of the clock, the event loop and the kernel's sockets: both ends of a connection are held.
+"""Simulated clock, event loop and kernel sockets, in which the model controls both ends of a connection.
 
-The loop's time is the test's own. As in libuv, timers that are due come before what lies in the sockets.
+The event loop runs on simulated time. As in libuv, due timers are handled before socket data.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from types import SimpleNamespace
 from typing import Any
 
-HIGH_WATER_BYTES = 64 * 1024  # bytes unsent from which a protocol is told to pause
+HIGH_WATER_BYTES = 64 * 1024  # a protocol has to pause writing while more than this is unsent
 EOF_MARK, RESET_MARK = b"", None
 
 ConnectHandler = Callable[[tuple[str, int]], Awaitable["Peer"]]
 
 
 class Clock:
-    """The time, the kernel, and what the net code takes for the modules `time` and `select`."""
+    """The simulated time and kernel, with stand-ins for the modules `time` and `select` of the net code."""
 
     def __init__(self, start: float) -> None:
         self.now = start
-        self.unique_numbers = count(100)
-        self.links: dict[int, Link] = {}  # by file number: open at the proxy's side
-        self.scheduled: list[tuple[float, int, Callable[[], object]]] = []  # what the peers do, and when
+        self.unique_numbers = count(100)  # file descriptors, and tie breakers of scheduled callbacks
+        self.links: dict[int, Link] = {}  # by file descriptor: open on the proxy's side
+        self.scheduled: list[tuple[float, int, Callable[[], object]]] = []  # actions of the peers, by time
         self.time = SimpleNamespace(monotonic=lambda: self.now, time=lambda: self.now)
         self.select = SimpleNamespace(
             poll=lambda: Poll(self),
@@ -36,11 +36,14 @@
         )
 
     def schedule(self, delay: float, callback: Callable[[], object]) -> None:
-        """A peer does this after so many s, whatever the proxy is doing then."""
+        """Calls back after a delay in seconds, even while the proxy is busy or stalled."""
         heapq.heappush(self.scheduled, (self.now + delay, next(self.unique_numbers), callback))
 
     def advance(self, time_span: float, until_ready: bool = False) -> None:
-        """Time goes by, and what the peers do; if so asked, until something of it reaches the proxy."""
+        """Lets time pass, in seconds, with the scheduled actions of the peers.
+
+        With `until_ready` it returns as soon as the proxy has something to read.
+        """
         end = self.now + time_span
         while self.scheduled and self.scheduled[0][0] <= end:
             at, _, callback = heapq.heappop(self.scheduled)
@@ -52,19 +55,25 @@
 
 
 class Poll:
+    """Stand-in for a select.poll object."""
+
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.registered: dict[int, int] = {}
 
     def register(self, fd: int, events: int) -> None:
+        """Registers a file descriptor with the events to wait for."""
         self.registered[fd] = events
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
+        """Returns the ready file descriptors with their events, without waiting.
+
+        Raises AssertionError if a registered one is closed."""
         always_reported = select.POLLERR | select.POLLHUP
         ready_fds = []
         for fd, events in self.registered.items():
             if fd not in self.clock.links:
-                raise AssertionError(f"a poll of file {fd}, which is closed")
+                raise AssertionError(f"poll of file descriptor {fd}, which is closed")
             ready = self.clock.links[fd].poll_events() & (events | always_reported)
             if ready:
                 ready_fds.append((fd, ready))
@@ -72,13 +81,17 @@
 
 
 class Loop(asyncio.BaseEventLoop):
-    """Time passes only while nothing is ready; a connect is the model's to answer."""
+    """An event loop on simulated time, which passes only while nothing is ready.
+
+    `connect` decides about new connections. Connections that become ready together are handled in random
+    order.
+    """
 
     def __init__(self, clock: Clock, connect: ConnectHandler, seed: int) -> None:
         super().__init__()
         self.clock, self.connect, self.rng = clock, connect, Random(seed)
         self._selector = self
-        self.callback_errors: list[dict[str, Any]] = []  # what came out of callbacks
+        self.callback_errors: list[dict[str, Any]] = []  # contexts of exceptions from callbacks
         self.set_exception_handler(lambda _, context: self.callback_errors.append(context))
 
     def time(self) -> float:
@@ -87,7 +100,7 @@
     def select(self, timeout: float | None) -> list[Link]:
         self.clock.advance(0.0)
         if timeout is None and not any(link.readable() for link in self.clock.links.values()):
-            raise AssertionError("nothing will ever happen")
+            raise AssertionError("the loop would wait forever: no timer and nothing to read")
         if timeout and not any(link.readable() for link in self.clock.links.values()):
             self.clock.advance(timeout, until_ready=True)
         ready = [link for link in self.clock.links.values() if link.readable()]
@@ -98,7 +111,7 @@
         for link in ready:
             if not link.read_scheduled:
                 link.read_scheduled = True
-                self.call_soon(self.call_soon, link.read)  # after the timers of this turn
+                self.call_soon(self.call_soon, link.read)  # after the timers of this iteration
 
     async def create_connection(self, factory: Any, *address: Any, **_: Any) -> Any:  # type: ignore[override]
         peer = await self.connect((address[0], address[1]))
@@ -108,69 +121,75 @@
         return link, protocol
 
     def run_for(self, time_span: float) -> None:
+        """Runs the loop for a time span in seconds."""
         self.run_until_complete(asyncio.sleep(time_span))
 
     def stall(self, time_span: float) -> None:
-        """The process gets no processor time."""
+        """Lets time pass, in seconds, without processor time for the process."""
         self.clock.advance(time_span)
 
 
 class Peer:
-    """The other end: what it is told by the kernel. All the model's peers derive from it."""
+    """Base class of the remote ends of connections, with the events that their kernel delivers."""
 
     link: Link
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """Called when the connection is established."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Called when data arrive from the proxy."""
 
     def on_eof(self) -> None:
-        """The proxy sends no more."""
+        """Called when the proxy has closed its sending direction."""
 
     def on_closed(self) -> None:
-        """The proxy's side is closed; what the peer has not read yet is lost where it was reset."""
+        """Called when the proxy's side is closed. After a reset, data that the peer has not read are lost."""
 
 
 class Link(asyncio.Transport):
-    """The proxy's end of one connection, and the kernel's buffers of both directions."""
+    """The proxy's end of a connection, with the kernel's buffers of both directions."""
 
     def __init__(self, loop: Loop, protocol: Any, peer: Peer) -> None:
         super().__init__()
         self.loop, self.protocol, self.peer = loop, protocol, peer
         self.fd = next(loop.clock.unique_numbers)
         loop.clock.links[self.fd] = self
-        self.receive_buffer: deque[bytes | None] = deque()  # bytes, an end or a reset, in the order they came
+        self.receive_buffer: deque[bytes | None] = (
+            deque()
+        )  # data, EOF_MARK or RESET_MARK, in order of arrival
         self.send_buffer = bytearray()
-        self.peer_reading = True  # the peer takes what is written
+        self.peer_reading = True  # the peer reads what the proxy writes
         self.reading = True
-        self.read_scheduled = False  # a read is on its way
+        self.read_scheduled = False
         self.closing = False
         self.closed = False
         self.eof_sent = self.eof_pending = False
         self.peer_closed = False
         self.writing_paused = False
-        self.bytes_read = 0  # bytes that the protocol has been given
+        self.bytes_read = 0  # passed to the protocol
         self.reset_by_proxy = False
         peer.link = self
         peer.on_connected()
 
-    # the kernel
+    # The kernel.
     def poll_events(self) -> int:
-        ready_fds = 0
+        """Returns the poll events that are pending on the connection."""
+        events = 0
         if self.receive_buffer:
-            ready_fds |= select.POLLIN
+            events |= select.POLLIN
         if any(not item for item in self.receive_buffer):
-            ready_fds |= select.POLLRDHUP
+            events |= select.POLLRDHUP
         if None in self.receive_buffer:
-            ready_fds |= select.POLLHUP | select.POLLERR
-        return ready_fds
+            events |= select.POLLHUP | select.POLLERR
+        return events
 
     def readable(self) -> bool:
+        """Whether the proxy is reading and has data, an end or a reset to read."""
         return self.reading and bool(self.receive_buffer) and not self.closing and not self.read_scheduled
 
     def read(self) -> None:
+        """Passes the next data, the end or the reset to the protocol."""
         self.read_scheduled = False
         if not self.reading or self.closing or not self.receive_buffer:
             return
@@ -190,11 +209,12 @@
             self.protocol.data_received(data)
 
     def flush(self) -> None:
+        """Delivers written data to the peer while it reads, and then the end or the close."""
         if self.peer_reading and self.send_buffer:
             data = bytes(self.send_buffer)
             self.send_buffer.clear()
             self.peer.on_data(data)
-            if self.peer_closed and not self.closed:  # a closed socket answers with a reset
+            if self.peer_closed and not self.closed:  # a closed socket answers data with a reset
                 self.peer_resets()
         if self.writing_paused and not self.send_buffer:
             self.writing_paused = False
@@ -207,6 +227,7 @@
                 self.loop.call_soon(self.finish_close, None)
 
     def finish_close(self, error: Exception | None) -> None:
+        """Closes the connection; it is a reset if data in either direction are left."""
         if self.closed:
             return
         self.closed = self.closing = True
@@ -216,37 +237,42 @@
         self.peer.on_closed()
 
     def close_now(self, error: Exception | None) -> None:
+        """Discards unsent data and closes the connection in the next iteration of the loop."""
         self.closing = True
         self.send_buffer.clear()
         self.loop.call_soon(self.finish_close, error)
 
-    # what the peer does
+    # Actions of the peer.
     def peer_sends(self, data: bytes) -> None:
+        """Adds data for the proxy, unless the connection was reset."""
         if not self.closed and data and None not in self.receive_buffer:
             self.receive_buffer.append(data)
 
     def peer_ends(self) -> None:
-        """Half a close, or with `peer_closed` a whole one."""
+        """Closes the peer's sending direction; with `peer_closed` set, the whole connection."""
         if not self.closed and not any(not item for item in self.receive_buffer):
             self.receive_buffer.append(EOF_MARK)
 
     def peer_closes(self) -> None:
+        """Closes the connection on the peer's side."""
         self.peer_ends()
         self.peer_closed = True
 
     def peer_resets(self) -> None:
+        """Resets the connection, which discards data that the proxy has not read."""
         if not self.closed:
             self.receive_buffer.clear()
             self.receive_buffer.append(RESET_MARK)
 
     def peer_reads(self, reading: bool) -> None:
+        """Makes the peer stop or resume reading."""
         self.peer_reading = reading
         if reading:
             self.flush()
 
-    # asyncio.Transport
+    # Methods of asyncio.Transport.
     def write(self, data: Any) -> None:
-        assert not self.eof_sent and not self.eof_pending, "a write after the end"
+        assert not self.eof_sent and not self.eof_pending, "a write after write_eof"
         if self.closing:
             return
         self.send_buffer += data
--- a/granitepoint/modelcheck/world.py
+++ b/granitepoint/modelcheck/world.py
@@ -1,4 +1,4 @@
-"""One instance and what the world round it knows: requests, attempts, lists, timers and the clock."""
+"""One instance and its simulated surroundings: requests, attempts, server lists, timers and the clock."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 from granitepoint.logic import Balancer
 
 BalancerFactory = Callable[[Settings, int], Balancer]
-Location = tuple[str, int]  # of a server: its zone and cell
+Location = tuple[str, int]  # zone and cell of a server
 
 
 class RuleViolation(AssertionError):
-    """A rule does not hold; `rule` is the name of the checker."""
+    """A rule was violated; `rule` is the name of its checker."""
 
     def __init__(self, rule: str, message: str) -> None:
         super().__init__(f"{rule}: {message}")
@@ -46,76 +46,85 @@
 
 @dataclass(slots=True)
 class Attempt:
+    """An attempt of a call. Times are in seconds of the simulated clock."""
+
     number: int
     server: int
     location: Location
     sent_at: float
-    timeout_at: float  # when it times out at the latest
-    status: Status | None = None  # None: still out
+    timeout_at: float
+    status: Status | None = None  # None: in flight
     streaming: bool = False
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the server may have executed the attempt."""
         return self.status not in NEVER_RAN
 
 
 @dataclass(slots=True)
 class Call:
-    """A request that the instance has taken, as its client sees it."""
+    """A request that the instance has received, as its client sees it. Times are in seconds."""
 
     id: int
-    cls: RequestClass | None  # None: of no known class, or with no time: owed an answer at once
-    budget: float  # from the batch that it came with
-    deadline: float = math.inf  # unknown before that
+    cls: RequestClass | None  # None if the class is unknown or the budget invalid: must be answered at once
+    budget: float  # counted from the batch in which the request arrives
+    deadline: float = math.inf  # set with that batch
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False  # by the instance
-    ended_in_turn: int | None = None  # the turn in which the instance was told of its end
-    answer_due_at: float = math.inf  # later than its deadline where the instance stood still
+    ended_in_turn: int | None = None  # turn in which the instance is notified of the end
+    answer_due_at: float = math.inf  # the deadline, or the end of a stall after it
 
     @property
     def ended(self) -> bool:
+        """Whether the request has its answer, or needs none any more."""
         return self.answered or self.ended_in_turn is not None
 
     @property
     def in_flight(self) -> list[Attempt]:
+        """The attempts that have not ended."""
         return [attempt for attempt in self.attempts if attempt.status is None]
 
     @property
     def streaming(self) -> bool:
+        """Whether the answer of an attempt is being streamed to the client."""
         return any(attempt.streaming for attempt in self.attempts)
 
     @property
     def first_possible_execution(self) -> Attempt | None:
+        """The first attempt that may have been executed, or None."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 class Rule:
-    """Checks one rule. The world calls it before it takes in what the instance did."""
+    """Checks one rule. World calls its methods before it applies an action of the instance."""
 
     name = ""
 
     def on_send(self, world: World, call: Call | None, action: Send) -> None:
-        """The instance sends an attempt."""
+        """Called when the instance sends an attempt."""
 
     def on_answer(self, world: World, call: Call | None, action: Refuse | Fail) -> None:
-        """The instance gives a final answer."""
+        """Called when the instance gives a final answer."""
 
     def on_action(self, world: World, action: Action) -> None:
-        """The instance does anything at all."""
+        """Called for each action of the instance."""
 
     def on_turn_end(self, world: World) -> None:
-        """A turn is over."""
+        """Called after each turn."""
 
     def check(self, condition: bool, message: str) -> None:
+        """Raises RuleViolation if the condition is false."""
         if not condition:
             raise RuleViolation(self.name, message)
 
 
 class World:
-    """Hands an instance its batches and keeps what it was told and did. Times are in seconds.
+    """The simulated surroundings of one instance: clients, servers, discovery, timers and the clock.
 
-    An event that is added comes with the next batch. Timers and time-outs that are due come in time, except
-    while the instance stands still.
+    It gives the instance batches of events, applies its actions and calls the rules. One batch and the
+    actions that it leads to are a turn. An event that is added is part of the next batch. Timers and
+    timeouts are delivered when they are due, except during a stall. Times are in seconds.
     """
 
     def __init__(
@@ -130,19 +139,21 @@
         self.balancer = balancer_factory(settings, seed)
         self.now = now
         self.turns = 0
-        self.failed = False  # a rule, or the instance itself: nothing that comes after it tells anything
+        # A rule or the instance itself raised an exception, so later results mean nothing.
+        self.failed = False
         self.last_turn_at = -math.inf
         self.classes = {cls.name: cls for cls in settings.classes}
         self.calls: dict[int, Call] = {}
-        self.open_calls: dict[int, Call] = {}  # neither over nor without attempts out
-        self.known_servers: dict[int, ServerEntry] = {}  # by the lists so far, without what is gone
-        self.ever_listed: set[int] = set()  # ever
+        self.open_calls: dict[int, Call] = {}  # not ended, or with attempts in flight
+        self.known_servers: dict[int, ServerEntry] = {}  # by the lists so far, without those that are gone
+        self.ever_listed: set[int] = set()
         self.timers: list[tuple[float, int]] = []
         self.probes_in_flight: list[int] = []
         self.pending_events: list[Event] = []
 
-    # what happens round the instance
+    # Events that reach the instance.
     def add_arrival(self, event: Arrival) -> None:
+        """Adds a request. One with an id that was used before is no new call."""
         self.pending_events.append(event)
         if event.call in self.calls:
             return
@@ -158,7 +169,7 @@
         report: dict[str, float] | None = None,
         idle_for: float | None = None,
     ) -> None:
-        """The one end of an attempt. A served one ends its request, and so does the break of a stream."""
+        """Ends an attempt. If it was served or its stream breaks, the request ends too."""
         attempt.status = status
         if not call.ended and (status is Status.OK or attempt.streaming):
             call.ended_in_turn = self.turns
@@ -168,15 +179,18 @@
         )
 
     def start_stream(self, call: Call, attempt: Attempt) -> None:
+        """Starts the stream of an attempt, which then has no timeout."""
         attempt.streaming, attempt.timeout_at = True, math.inf
         elapsed = self.now - attempt.sent_at
         self.pending_events.append(StreamStarted(call.id, attempt.number, attempt.server, elapsed))
 
     def disconnect_client(self, call: Call) -> None:
+        """Lets the client of a call disconnect."""
         call.ended_in_turn = self.turns
         self.pending_events.append(Gone(call.id))
 
     def add_list(self, server_list: ServerList) -> None:
+        """Adds a server list and updates the servers that the instance knows."""
         self.pending_events.append(server_list)
         if server_list.kind is ListKind.FAILED:
             return
@@ -190,12 +204,13 @@
                 self.known_servers[entry.server] = entry
 
     def finish_probe(self, index: int, status: Status, report: dict[str, float] | None) -> None:
+        """Ends one of the probes in flight, chosen by its index."""
         server = self.probes_in_flight.pop(index)
         self.pending_events.append(Probed(server, status, 0.01, report))
 
-    # the clock
+    # The clock.
     def next_due(self) -> float:
-        """When the next timer or time-out is due; what has happened already, as after a call-off, at once."""
+        """Returns when the next event is due: now, if events are pending, as after a cancellation."""
         if self.pending_events:
             return self.now
         due_times = [at for at, _ in self.timers]
@@ -203,7 +218,7 @@
         return min(due_times, default=math.inf)
 
     def advance_time(self, time_span: float) -> None:
-        """Lets time pass, with a turn for each thing that is due, though no more often than the quantum."""
+        """Lets time pass, with a turn for each due event, but with at least the quantum between two turns."""
         end = self.now + time_span
         self.run_turn()
         while True:
@@ -215,14 +230,17 @@
         self.now = end
 
     def stall(self, time_span: float, due_first: bool = False) -> None:
-        """The instance gets no turn meanwhile; then all that was due comes in one batch."""
+        """Lets time pass without a turn; then delivers all due events in one batch."""
         self.now += time_span
         for call in self.open_calls.values():
             call.answer_due_at = max(call.answer_due_at, self.now)
         self.run_turn(due_first)
 
     def run_turn(self, due_first: bool = False) -> None:
-        """One batch: what was added and what is due, in this order or in the other."""
+        """Delivers one batch: the added events and then the due ones, or the due ones first.
+
+        Raises RuleViolation if a rule is violated.
+        """
         added, self.pending_events = self.pending_events, []
         for call in self.open_calls.values():
             if call.deadline == math.inf:
@@ -246,6 +264,7 @@
         }
 
     def apply(self, action: Action) -> None:
+        """Has an action checked by the rules and applies it."""
         for rule in self.rules:
             rule.on_action(self, action)
         if isinstance(action, Send):
@@ -264,6 +283,7 @@
             self.apply_cancel(action)
 
     def apply_send(self, action: Send) -> None:
+        """Adds the attempt to its call."""
         call = self.calls.get(action.call)
         for rule in self.rules:
             rule.on_send(self, call, action)
@@ -275,7 +295,7 @@
         call.attempts.append(Attempt(len(call.attempts), action.server, location, self.now, timeout_at))
 
     def apply_cancel(self, action: Cancel) -> None:
-        """A call-off is the end of its attempt, unless another one or a stream came first."""
+        """Ends the cancelled attempt, unless it has ended already or its stream has started."""
         call = self.calls.get(action.call)
         if call is not None and action.attempt < len(call.attempts):
             attempt = call.attempts[action.attempt]
@@ -283,7 +303,7 @@
                 self.finish_attempt(call, attempt, Status.CANCELLED)
 
     def finish(self) -> None:
-        """Lets all that is open come to its end: streams end, the rest times out."""
+        """Lets all open calls end: streams are completed, other attempts time out."""
         for call in list(self.open_calls.values()):
             for attempt in call.in_flight:
                 if attempt.streaming:
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -1,4 +1,4 @@
-"""The state machines find no breach in a short run, and find each of the faults made here on purpose."""
+"""The state machines find no violation in a short run, and find each defect that is injected here."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from granitepoint.modelcheck.world import BalancerFactory, RuleViolation
 from granitepoint.net.server import ClientConnection
 
-GENERATE_ONLY = (Phase.generate,)  # not made shorter
+GENERATE_ONLY = (Phase.generate,)  # without shrinking
 
 
 @pytest.mark.parametrize(
     ("name", "examples", "steps"), [("instance", 30, 30), ("cold", 8, 15), ("endings", 25, 30)]
 )
-def test_a_short_run_finds_no_breach(name: str, examples: int, steps: int) -> None:
+def test_a_short_run_finds_no_violation(name: str, examples: int, steps: int) -> None:
     check(name, examples, steps, 1, phases=GENERATE_ONLY)
 
 
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rule", "make"),
+    ("rule", "balancer_factory"),
     [
         ("answer", with_safety_rules(AnswersTwice)),
         ("answer", IgnoresTimeouts),
@@ -100,12 +100,12 @@
         ("kept", with_safety_rules(NeverRemovesCalls)),
     ],
 )
-def test_a_fault_of_an_instance_is_found(rule: str, balancer_factory: BalancerFactory) -> None:
+def test_a_defect_of_an_instance_is_found(rule: str, balancer_factory: BalancerFactory) -> None:
     with pytest.raises(CounterexampleFound, match=f"^{rule}: "):
         check(rule, 300, 40, 1, phases=GENERATE_ONLY, balancer_factory=balancer_factory)
 
 
-def test_a_cold_server_that_gets_all_it_seems_fit_for_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_slow_start_of_a_cold_server_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Servers, "slow_start_share", lambda self, server, now: 1.0)
     with pytest.raises(CounterexampleFound, match="^cold: "):
         check("cold", 100, 20, 1, phases=GENERATE_ONLY)
@@ -119,10 +119,10 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "fault"),
+    ("name", "defect"),
     [("gone", lambda self: False), ("close", close_despite_unread_data)],
 )
-def test_a_fault_of_the_callers_side_is_found(
+def test_a_defect_of_the_client_side_is_found(
     name: str, defect: Callable[[ClientConnection], object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ClientConnection, name, defect)
@@ -130,7 +130,7 @@
         check("endings", 200, 40, 2, phases=GENERATE_ONLY)
 
 
-def test_a_case_is_told_as_a_test_that_fails(
+def test_a_counterexample_is_printed_as_a_test_that_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(SafetyRules, "may_refuse", lambda self, call: True)
@@ -142,7 +142,7 @@
         names["test_found"]()
 
 
-def test_the_command_tells_by_its_exit_code_whether_a_breach_was_found(
+def test_the_exit_code_of_the_command_says_whether_a_violation_was_found(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     arguments = ["--examples", "2", "--steps", "2", "--rule", "repeat"]
@@ -157,7 +157,7 @@
     assert "def test_found()" in capsys.readouterr().out
 
 
-def test_what_stands_behind_a_refused_request_on_a_connection_without_room_is_refused_too() -> None:
+def test_requests_pipelined_behind_a_refused_one_on_a_connection_over_the_limit_are_refused_too() -> None:
     model = ProxyModel(0, 1, 64)
     try:
         for _ in range(model.server.most_open):
