--- a/granitepoint/modelcheck/cold.py
+++ b/granitepoint/modelcheck/cold.py
@@ -49,7 +49,8 @@
     ) -> None:
         """Builds the fleet and runs it for `warm_up` seconds.
 
-        `window` is the initial concurrency limit of each instance."""
+        `window` is the initial concurrency limit of each instance.
+        """
         settings: dict[str, object] = {
             "max_attempts": 3, "may_cancel": True, "may_duplicate": True, "may_probe": may_probe,
             "price_probe": 0.06, "reports": "probe" if may_probe else "none",
--- a/granitepoint/modelcheck/fleet.py
+++ b/granitepoint/modelcheck/fleet.py
@@ -247,7 +247,8 @@
     def run(self, time_span: float) -> None:
         """Lets time pass, in seconds, and checks the budgets of the current cold starts.
 
-        Raises RuleViolation if a budget is exceeded."""
+        Raises RuleViolation if a budget is exceeded.
+        """
         end = self.now + time_span
         while True:
             at = self.event_queue[0][0] if self.event_queue else math.inf
--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -62,7 +62,8 @@
     ) -> None:
         """Creates the instance and its first list.
 
-        `window` is the initial concurrency limit, `now` the initial time in seconds."""
+        `window` is the initial concurrency limit, `now` the initial time in seconds.
+        """
         balancer_factory = type(self).balancer_factory
         self.world = World(
             Settings(**options), seed, [rule() for rule in self.checkers], balancer_factory, now
@@ -135,7 +136,8 @@
     ) -> None:
         """Ends an attempt with any status and load report.
 
-        `seconds_idle` is how long its connection had been idle, None if that is unknown."""
+        `seconds_idle` is how long its connection had been idle, None if that is unknown.
+        """
         in_flight = self.in_flight()
         call, attempt = in_flight[which % len(in_flight)]
         self.world.finish_attempt(call, attempt, status, report, seconds_idle)
--- a/granitepoint/modelcheck/proxy.py
+++ b/granitepoint/modelcheck/proxy.py
@@ -82,7 +82,7 @@
         self.last_received_at = 0.0
         self.input_valid = True  # has sent no malformed data
         self.close_requested = False  # has sent a request with Connection: close
-        self.has_paused_reading = False  # has paused reading at some time
+        self.has_paused_reading = False  # missing answers are no violation then
         self.close_announced = False  # the proxy has sent Connection: close
         self.bytes_read_at_close = math.inf  # what the proxy had read when it announced the close
         self.closed = False
@@ -102,7 +102,7 @@
         return not (self.unsent_rest or self.close_announced or self.close_requested)
 
     def is_owed(self, request: SentRequest) -> bool:
-        """Whether the proxy must answer a request: it has read it, before it announced a close if it did so."""
+        """Whether the proxy must answer a request: it has read it, and did so before it announced a close."""
         if (
             self.disconnected_at is not None
             or not self.input_valid
@@ -246,8 +246,8 @@
         self.backend_connections: list[Backend] = []
         self.requests: dict[str, SentRequest] = {}
         self.client_by_request: dict[str, Client] = {}
-        self.received_attempts: dict[str, list[ReceivedAttempt]] = {}  # by id
-        self.served_bodies: dict[str, set[bytes]] = {}
+        self.received_attempts: dict[str, list[ReceivedAttempt]] = {}  # by request id
+        self.served_bodies: dict[str, set[bytes]] = {}  # what backends sent, by request id
         self.connect_mode = "at once"
         self.request_count = 0
         self.violations: list[RuleViolation] = []
@@ -300,7 +300,8 @@
     async def connect(self, address: tuple[str, int]) -> Peer:
         """Decides about a new connection to a backend as `connect_mode` says.
 
-        Raises ConnectionRefusedError if it is refused."""
+        Raises ConnectionRefusedError if it is refused.
+        """
         how = self.connect_mode
         if how == "refused":
             raise ConnectionRefusedError("refused")
@@ -519,7 +520,8 @@
     def check_final_state(self) -> None:
         """Checks after the exit that no request is unanswered and nothing is left open.
 
-        Raises RuleViolation, or the exception that ended the shutdown."""
+        Raises RuleViolation, or the exception that ended the shutdown.
+        """
         assert self.shutdown_task is not None
         self.shutdown_task.result()
         unanswered = [
--- a/granitepoint/modelcheck/sockets.py
+++ b/granitepoint/modelcheck/sockets.py
@@ -68,7 +68,8 @@
     def poll(self, timeout: float) -> list[tuple[int, int]]:
         """Returns the ready file descriptors with their events, without waiting.
 
-        Raises AssertionError if a registered one is closed."""
+        Raises AssertionError if a registered one is closed.
+        """
         always_reported = select.POLLERR | select.POLLHUP
         ready_fds = []
         for fd, events in self.registered.items():
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -57,6 +57,8 @@
 
 
 def with_safety_rules(safety_rules: type[SafetyRules]) -> BalancerFactory:
+    """Returns a Balancer class with other safety rules."""
+
     class ModifiedBalancer(Balancer):
         def __init__(self, settings: Settings, seed: int) -> None:
             super().__init__(settings, seed)
@@ -112,6 +114,7 @@
 
 
 def close_despite_unread_data(self: ClientConnection) -> None:
+    """Closes a connection with unread data, which resets it and may lose the last answer."""
     if self.transport is not None and not self.leaving:
         self.leaving = True
         self.server.place(self, self.server.leaving)
