--- a/granitepoint/modelcheck/endings.py
+++ b/granitepoint/modelcheck/endings.py
@@ -87,8 +87,9 @@
     ) -> None:
         """Sends pipelined requests on one connection.
 
-        `cut_bytes` at the end of the last request are held back. With `cross_next_answer` a further request
-        is sent at the moment in which the next answer arrives.
+        With `last_closes` the last one has the header Connection: close. `cut_bytes` at the end of the last
+        request are held back. With `cross_next_answer` a further request is sent at the moment in which the
+        next answer arrives.
         """
         client = None if new_connection else self.client_at(which)
         if client is None:
--- a/granitepoint/modelcheck/fleet.py
+++ b/granitepoint/modelcheck/fleet.py
@@ -77,8 +77,8 @@
         settings = self.settings
         warm_up_progress = min(1.0, age / settings.cold_for) if settings.cold_for else 1.0
         capacity = settings.cold_from + (1 - settings.cold_from) * warm_up_progress
-        n = settings.fall_multiple * capacity * settings.fall_within / self.work_per_call
-        return n + 2 * math.sqrt(n) + 2
+        mean_calls = settings.fall_multiple * capacity * settings.fall_within / self.work_per_call
+        return mean_calls + 2 * math.sqrt(mean_calls) + 2
 
     def peak_usage(self, start: ColdStart) -> tuple[float, float]:
         """Returns the largest used fraction of the budget, and the server's age at the start of that window.
