--- a/granitepoint/emulator/calls.py
+++ b/granitepoint/emulator/calls.py
@@ -16,7 +16,7 @@
     from granitepoint.emulator.tally import Window
 
 
-class End(Enum):
+class CallResult(Enum):
     """How a call ended, as its asker sees it."""
 
     SERVED = "served"
@@ -29,8 +29,8 @@
     """What a client wants, over all its tries. Times in simulated seconds, work in core seconds."""
 
     __slots__ = (
-        "born", "cls", "deadline", "ended", "honours", "number", "random", "tenant", "tries", "window",
-        "work", "worth", "zone",
+        "created_at", "cls", "deadline", "ended", "honors_retry_after", "number", "random", "tenant", "tries", "window",
+        "work", "utility", "zone",
     )  # fmt: skip
 
     def __init__(
@@ -39,19 +39,19 @@
         cls: Class,
         tenant: str,
         zone: str,
-        born: float,
+        created_at: float,
         work: float,
         window: Window,
         random: Random,
     ) -> None:
-        self.number, self.cls, self.tenant, self.zone, self.born, self.work = (
-            number, cls, tenant, zone, born, work,
+        self.number, self.cls, self.tenant, self.zone, self.created_at, self.work = (
+            number, cls, tenant, zone, created_at, work,
         )  # fmt: skip
         self.window = window
         self.random = random  # of all that its calls cost, so that runs of other decisions meet the same
-        self.deadline = born + cls.deadline_ms / 1e3
-        self.worth = cls.worth
-        self.honours = True  # stays away as long as it is told
+        self.deadline = created_at + cls.deadline_ms / 1e3
+        self.utility = cls.worth
+        self.honors_retry_after = True  # stays away as long as it is told
         self.tries = 0
         self.ended = False
 
@@ -60,35 +60,35 @@
     """One call to an instance, from a client or from a server of the tier above."""
 
     __slots__ = (
-        "asker", "attempts", "deadline", "ended", "event", "id", "instance", "origin", "out", "request",
+        "caller", "attempts", "deadline", "ended", "event", "id", "instance", "calling_attempt", "in_flight", "request",
         "work",
     )  # fmt: skip
 
-    def __init__(self, id: int, request: Request, asker: Asker, budget: float, work: float) -> None:
-        self.id, self.request, self.asker = id, request, asker
+    def __init__(self, id: int, request: Request, caller: Caller, budget: float, work: float) -> None:
+        self.id, self.request, self.caller = id, request, caller
         self.work = work  # core seconds, of which a tier does its share
         self.event = Arrival(id, request.cls.name, budget, request.tenant)
         self.deadline = math.inf  # set when an instance takes it
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts that have no outcome yet
+        self.in_flight = 0  # attempts that have no outcome yet
         self.ended = False
-        self.origin: Attempt | None = None  # at the server that asks
+        self.calling_attempt: Attempt | None = None  # at the server that asks
         self.instance: Instance | None = None
 
 
-class Asker(Protocol):
-    def answered(self, call: Call, end: End, retry_after: float, attempt: Attempt | None) -> None:
+class Caller(Protocol):
+    def on_call_ended(self, call: Call, end: CallResult, retry_after: float, attempt: Attempt | None) -> None:
         """The one end of a call; `attempt` is the one that served it."""
 
 
-class State(Enum):
+class AttemptState(Enum):
     """Of an attempt, at its server."""
 
-    AWAY = 0  # on its way there, or turned away
-    WAITING = 1  # for a slot
+    IN_TRANSIT = 0  # on its way there, or turned away
+    QUEUED = 1  # for a slot
     RUNNING = 2
     CALLING = 3  # the next tier
-    OVER = 4
+    FINISHED = 4
 
 
 class Attempt:
@@ -96,23 +96,23 @@
 
     __slots__ = (
         "call",
-        "calls_left",
+        "remaining_calls",
         "deadline",
-        "finish",
-        "inner",
+        "finish_progress",
+        "inner_call",
         "instance",
-        "kids",
-        "life",
+        "inner_attempts",
+        "incarnation",
         "number",
-        "overhead",
-        "reply",
-        "rest_work",
-        "rested",
+        "handshake_work",
+        "reply_status",
+        "work_after_calls",
+        "idle_for",
         "sent_at",
         "server",
         "state",
         "status",
-        "used",
+        "work_spent",
         "work",
     )  # fmt: skip
 
@@ -121,18 +121,20 @@
     ) -> None:
         self.call, self.number, self.instance, self.server = call, number, instance, server
         self.sent_at, self.deadline = sent_at, deadline
-        self.life = server.life  # of the process that its connection leads to
-        self.rested = 0.0  # s that its connection had not been used; 0: a new one
+        self.incarnation = server.incarnation  # of the process that its connection leads to
+        self.idle_for = 0.0  # s that its connection had not been used; 0: a new one
         self.status = -1  # still out
-        self.reply = -1  # the status on its way back
-        self.state = State.AWAY
-        self.overhead = 0.0  # work of its connection's handshake
-        self.work = self.rest_work = 0.0  # core seconds of the part at hand, and of the part after the calls
-        self.finish = 0.0  # the server's progress at which the part at hand is done
-        self.used = 0.0  # core seconds spent on it
-        self.calls_left = 0
-        self.inner: Call | None = None  # out to the next tier
-        self.kids: list[Attempt] = []  # that served its calls
+        self.reply_status = -1  # the status on its way back
+        self.state = AttemptState.IN_TRANSIT
+        self.handshake_work = 0.0  # work of its connection's handshake
+        self.work = self.work_after_calls = (
+            0.0  # core seconds of the part at hand, and of the part after the calls
+        )
+        self.finish_progress = 0.0  # the server's progress at which the part at hand is done
+        self.work_spent = 0.0  # core seconds spent on it
+        self.remaining_calls = 0
+        self.inner_call: Call | None = None  # out to the next tier
+        self.inner_attempts: list[Attempt] = []  # that served its calls
 
 
 def draw(random: Random, dist: str, mean: float, cv: float) -> float:
@@ -142,5 +144,5 @@
     if dist == "pareto":
         alpha = 1 + math.sqrt(1 + 1 / (cv * cv))
         return mean * (alpha - 1) / alpha * random.paretovariate(alpha)
-    square = math.log1p(cv * cv)
-    return random.lognormvariate(math.log(mean) - square / 2, math.sqrt(square))
+    variance = math.log1p(cv * cv)
+    return random.lognormvariate(math.log(mean) - variance / 2, math.sqrt(variance))
--- a/granitepoint/emulator/command.py
+++ b/granitepoint/emulator/command.py
@@ -15,7 +15,7 @@
 from granitepoint.emulator.world import World
 from granitepoint.fleet.experiment import ExperimentError
 
-BAD_INPUT, FAILED = 2, 1
+EXIT_BAD_INPUT, EXIT_FAILED = 2, 1
 
 
 def emulate(
@@ -29,27 +29,27 @@
     The results go to standard output, how long it took to standard error. Returns the exit code.
     """
     try:
-        read = drawn.load(day) if day.suffix == ".json" else load(day)
-    except ExperimentError as fault:
-        print(f"emulator: {fault}", file=sys.stderr)
-        return BAD_INPUT
+        loaded_day = drawn.load(day) if day.suffix == ".json" else load(day)
+    except ExperimentError as error:
+        print(f"emulator: {error}", file=sys.stderr)
+        return EXIT_BAD_INPUT
     if seed is not None:
-        read = msgspec.structs.replace(read, seed=seed)
-    begun, used = time.monotonic(), time.process_time()
-    world = World(read)
-    built = time.monotonic() - begun
+        loaded_day = msgspec.structs.replace(loaded_day, seed=seed)
+    started_at, cpu_started_at = time.monotonic(), time.process_time()
+    world = World(loaded_day)
+    build_time = time.monotonic() - started_at
     try:
         records = world.run()
         if json is not None:
             tally.write(records, json)
-    except (tally.EmulatorFault, OSError) as fault:
-        print(f"emulator: {fault}", file=sys.stderr)
-        return FAILED
-    span, cpu = time.monotonic() - begun, time.process_time() - used
+    except (tally.EmulatorError, OSError) as error:
+        print(f"emulator: {error}", file=sys.stderr)
+        return EXIT_FAILED
+    elapsed, cpu_time = time.monotonic() - started_at, time.process_time() - cpu_started_at
     calls = sum(record.calls for record in records if isinstance(record, tally.Total))
     print(tally.text(records), end="")
     print(
-        f"{span:.1f} s ({built:.1f} s of it to build), {cpu:.1f} s of a core, {calls / max(cpu, 1e-9):.0f} "
+        f"{elapsed:.1f} s ({build_time:.1f} s of it to build), {cpu_time:.1f} s of a core, {calls / max(cpu_time, 1e-9):.0f} "
         "calls for each second of it",
         file=sys.stderr,
     )
--- a/granitepoint/emulator/day.py
+++ b/granitepoint/emulator/day.py
@@ -12,11 +12,11 @@
 from granitepoint.interface import Effect, RequestClass, Settings, Tenant
 
 
-class _Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class _StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     pass
 
 
-class Traffic(_Strict, kw_only=True):
+class Traffic(_StrictStruct, kw_only=True):
     """First tries of clients, drawn ahead of any answer. One of `rate_per_s` and `load` is given."""
 
     rate_per_s: float = 0.0
@@ -26,7 +26,7 @@
     shape: list[tuple[float, float]] = []  # second and factor, linear between
 
 
-class Clients(_Strict):
+class Clients(_StrictStruct):
     retries: int = 0
     try_share: float = 1.0  # of the deadline after which a try is given up that may be made again
     backoff: Literal["none", "fixed", "exp"] = "exp"
@@ -35,7 +35,7 @@
     impatient: float = 0.0  # share that leaves at a random moment of its wait
 
 
-class Network(_Strict):
+class Network(_StrictStruct):
     """One way, each message."""
 
     same_ms: float = 0.2  # within a zone
@@ -44,7 +44,7 @@
     jitter: float = 0.2  # share by which a message's time varies
 
 
-class Discovery(_Strict):
+class Discovery(_StrictStruct):
     mode: Literal["ask", "push"] = "ask"
     add_s: float = 1.0  # until a started server is in the list
     notice_s: float = 2.0  # until a server that ended after a drain is gone from it
@@ -56,13 +56,13 @@
     timeout_s: float = 2.0  # a call whose turn comes later fails
 
 
-class Front(_Strict):
+class Front(_StrictStruct):
     proxies: int = 2
     notice_s: float = 2.0  # until the front leaves out a proxy that ended
     start_spread_s: float = 0.0  # proxies come up within it
 
 
-class Limits(_Strict):
+class Limits(_StrictStruct):
     max_attempts: int = 3
     duplicates: bool = False
     cancel: bool = True
@@ -73,7 +73,7 @@
     connect_timeout_ms: float = 250.0
 
 
-class Rules(_Strict):
+class Rules(_StrictStruct):
     grace_to_answer_ms: float = 20.0
     drain_grace_ms: float = 250.0
     cold_from: float = 0.4  # as told to the instances; the servers' own is the tier's
@@ -83,7 +83,7 @@
     must_ask_in_s: float = 10.0
 
 
-class Prices(_Strict):
+class Prices(_StrictStruct):
     """As told to the instances; the emulator takes nothing off."""
 
     cross_zone: float = 0.0
@@ -94,7 +94,7 @@
     discovery: float = 0.005
 
 
-class Choke(_Strict, kw_only=True):
+class Choke(_StrictStruct, kw_only=True):
     """A server with many requests for each core for a while turns slower until it has rested. Seconds without
     a crowd take back as many with one."""
 
@@ -106,7 +106,7 @@
     most_s: float
 
 
-class Tier(_Strict, kw_only=True):
+class Tier(_StrictStruct, kw_only=True):
     name: str
     servers: int
     deep: int = 1  # so many tiers alike, one calling the next
@@ -139,7 +139,7 @@
     choke: Choke | None = None
 
 
-class Class(_Strict, kw_only=True):
+class Class(_StrictStruct, kw_only=True):
     name: str
     share: float
     work_ms: float  # mean, on a standard core, over all tiers
@@ -155,14 +155,14 @@
     window_ms: float = 0.0
 
 
-class TenantShare(_Strict, kw_only=True):
+class TenantShare(_StrictStruct, kw_only=True):
     name: str
     share: float  # of the service
     traffic: float  # share of the requests
     quota: float  # share of what the fleet can do
 
 
-class Roll(_Strict, kw_only=True, tag="roll", tag_field="kind"):
+class Roll(_StrictStruct, kw_only=True, tag="roll", tag_field="kind"):
     """Servers of a tier drain and stop, a batch at a time, and cold new machines take their places."""
 
     at_s: float
@@ -174,7 +174,7 @@
     surge: bool = False  # those that come are started first, and the others drain when the list has them
 
 
-class Shrink(_Strict, kw_only=True, tag="shrink", tag_field="kind"):
+class Shrink(_StrictStruct, kw_only=True, tag="shrink", tag_field="kind"):
     """Servers of a tier drain and stop for good, one by one. The traffic is left to its own shape."""
 
     at_s: float
@@ -184,7 +184,7 @@
     drain_s: float = 3.0
 
 
-class ZoneLoss(_Strict, kw_only=True, tag="zone_loss", tag_field="kind"):
+class ZoneLoss(_StrictStruct, kw_only=True, tag="zone_loss", tag_field="kind"):
     """A zone's servers and proxies go silent, and come back as new, cold processes."""
 
     at_s: float
@@ -192,7 +192,7 @@
     zone: str
 
 
-class FastErrors(_Strict, kw_only=True, tag="fast_errors", tag_field="kind"):
+class FastErrors(_StrictStruct, kw_only=True, tag="fast_errors", tag_field="kind"):
     at_s: float
     for_s: float
     tier: int = 0
@@ -200,7 +200,7 @@
     share: float = 0.5  # of their requests that they fail at once
 
 
-class Hang(_Strict, kw_only=True, tag="hang", tag_field="kind"):
+class Hang(_StrictStruct, kw_only=True, tag="hang", tag_field="kind"):
     """Servers take requests and do nothing."""
 
     at_s: float
@@ -209,7 +209,7 @@
     servers: int = 1
 
 
-class HeavyTail(_Strict, kw_only=True, tag="heavy_tail", tag_field="kind"):
+class HeavyTail(_StrictStruct, kw_only=True, tag="heavy_tail", tag_field="kind"):
     at_s: float
     for_s: float
     tier: int = 0
@@ -218,22 +218,22 @@
     times: float  # their work
 
 
-class StaleDiscovery(_Strict, kw_only=True, tag="stale_discovery", tag_field="kind"):
+class StaleDiscovery(_StrictStruct, kw_only=True, tag="stale_discovery", tag_field="kind"):
     at_s: float
     for_s: float
     behind_s: float
 
 
-class Burst(_Strict, kw_only=True, tag="burst", tag_field="kind"):
+class Burst(_StrictStruct, kw_only=True, tag="burst", tag_field="kind"):
     at_s: float
     for_s: float
     times: float  # the rate
 
 
-Trouble = Roll | Shrink | ZoneLoss | FastErrors | Hang | HeavyTail | StaleDiscovery | Burst
+Fault = Roll | Shrink | ZoneLoss | FastErrors | Hang | HeavyTail | StaleDiscovery | Burst
 
 
-class Day(_Strict, kw_only=True):
+class Day(_StrictStruct, kw_only=True):
     name: str
     seed: int = 1
     duration_s: float  # in which first tries come
@@ -253,31 +253,31 @@
     tiers: list[Tier]
     classes: list[Class]
     tenants: list[TenantShare] = []
-    troubles: list[Trouble] = []
+    troubles: list[Fault] = []
 
-    def depths(self) -> list[Tier]:
+    def expanded_tiers(self) -> list[Tier]:
         """Every tier that a call passes, from the first on."""
-        found = []
+        tiers = []
         for tier in self.tiers:
             for number in range(tier.deep):
                 name = tier.name if tier.deep == 1 else f"{tier.name}-{number + 1}"
-                found.append(msgspec.structs.replace(tier, name=name, deep=1))
-        return found
+                tiers.append(msgspec.structs.replace(tier, name=name, deep=1))
+        return tiers
 
     def mean_work(self) -> float:
         """Core seconds of a request whose work at all tiers adds up to 1."""
-        shares = sum(cls.share for cls in self.classes)
-        return sum(cls.share * cls.work_ms for cls in self.classes) / shares / 1e3
+        total_share = sum(cls.share for cls in self.classes)
+        return sum(cls.share * cls.work_ms for cls in self.classes) / total_share / 1e3
 
     def capacity(self) -> float:
         """Requests each second that the tier which runs out first can do."""
-        visits, least = 1.0, math.inf
-        for tier in self.depths():
+        visits, lowest_rate = 1.0, math.inf
+        for tier in self.expanded_tiers():
             visits *= tier.calls
-            power = (sum(tier.speeds) or tier.servers * tier.speed) * tier.cores
+            tier_speed = (sum(tier.speeds) or tier.servers * tier.speed) * tier.cores
             if visits * tier.work > 0:
-                least = min(least, power / (self.mean_work() * tier.work * visits))
-        return least
+                lowest_rate = min(lowest_rate, tier_speed / (self.mean_work() * tier.work * visits))
+        return lowest_rate
 
     def rate(self) -> float:
         """First tries each second before waves and troubles."""
@@ -286,7 +286,7 @@
     def settings(self, stage: int, zone: str, me: int, balancers: int) -> Settings:
         """What an instance that sends to tier `stage` is told. Raises ExperimentError."""
         limits, rules, prices = self.limits, self.rules, self.prices
-        depths = self.depths()
+        tiers = self.expanded_tiers()
         try:
             return Settings(
                 classes=[
@@ -307,9 +307,9 @@
                 me=me,
                 balancers=balancers,
                 stage=stage,
-                stages=len(depths),
+                stages=len(tiers),
                 zones=tuple(self.zones),
-                kinds=(depths[stage].name,),
+                kinds=(tiers[stage].name,),
                 quantum=self.tick_ms / 1e3,
                 ask_for_list=self.discovery.mode == "ask",
                 must_ask_within=rules.must_ask_in_s,
@@ -340,99 +340,99 @@
                 price_late_fail=prices.late_fail,
                 price_discovery=prices.discovery,
             )
-        except ValueError as fault:
-            raise ExperimentError(str(fault)) from None
+        except ValueError as error:
+            raise ExperimentError(str(error)) from None
 
 
-def _need(ok: bool, key: str, text: str) -> None:
+def _require(ok: bool, key: str, text: str) -> None:
     if not ok:
         raise ExperimentError(f"{key}: {text}")
 
 
 def check(day: Day) -> Day:
     """What types can't say; a key that would have no effect is an error too. Raises ExperimentError."""
-    _need(0 < day.duration_s <= 3600, "duration_s", "must be above 0 and at most 3600")
-    _need(day.tick_ms > 0, "tick_ms", "must be above 0")
-    _need(bool(day.zones) and len(set(day.zones)) == len(day.zones), "zones", "must name each zone once")
-    _need(bool(day.classes), "classes", "there is none")
-    _need(sum(cls.share for cls in day.classes) > 0, "classes", "the shares add up to 0")
-    _need(bool(day.tiers), "tiers", "there is none")
+    _require(0 < day.duration_s <= 3600, "duration_s", "must be above 0 and at most 3600")
+    _require(day.tick_ms > 0, "tick_ms", "must be above 0")
+    _require(bool(day.zones) and len(set(day.zones)) == len(day.zones), "zones", "must name each zone once")
+    _require(bool(day.classes), "classes", "there is none")
+    _require(sum(cls.share for cls in day.classes) > 0, "classes", "the shares add up to 0")
+    _require(bool(day.tiers), "tiers", "there is none")
     for number, tier in enumerate(day.tiers):
         _check_tier(day, tier, f"tiers[{number}]")
     _check_traffic(day)
-    _need(1 <= day.front.proxies <= 10_000, "front.proxies", "must be from 1 to 10,000")
-    _need(day.clients.retries >= 0, "clients.retries", "must not be below 0")
-    _need(0 < day.clients.try_share <= 1, "clients.try_share", "must be above 0 and at most 1")
-    _need(day.discovery.period_s > 0, "discovery.period_s", "must be above 0")
-    _need(day.discovery.lines_per_s > 0, "discovery.lines_per_s", "must be above 0")
-    _need(not day.tenants or sum(t.traffic for t in day.tenants) > 0, "tenants", "they send nothing")
+    _require(1 <= day.front.proxies <= 10_000, "front.proxies", "must be from 1 to 10,000")
+    _require(day.clients.retries >= 0, "clients.retries", "must not be below 0")
+    _require(0 < day.clients.try_share <= 1, "clients.try_share", "must be above 0 and at most 1")
+    _require(day.discovery.period_s > 0, "discovery.period_s", "must be above 0")
+    _require(day.discovery.lines_per_s > 0, "discovery.lines_per_s", "must be above 0")
+    _require(not day.tenants or sum(t.traffic for t in day.tenants) > 0, "tenants", "they send nothing")
     for number, cls in enumerate(day.classes):
         path = f"classes[{number}]"
-        _need(cls.work_ms > 0, f"{path}.work_ms", "must be above 0")
-        _need(cls.cv > 0 or cls.dist == "fixed", f"{path}.cv", "must be above 0")
-        _need(cls.effect == "by_key" or not cls.window_ms, f"{path}.window_ms", "unused: not by_key")
-        _need(cls.effect == "by_key" or cls.group == "all", f"{path}.group", "unused: not by_key")
-    for number, trouble in enumerate(day.troubles):
-        _check_trouble(day, trouble, f"troubles[{number}]")
+        _require(cls.work_ms > 0, f"{path}.work_ms", "must be above 0")
+        _require(cls.cv > 0 or cls.dist == "fixed", f"{path}.cv", "must be above 0")
+        _require(cls.effect == "by_key" or not cls.window_ms, f"{path}.window_ms", "unused: not by_key")
+        _require(cls.effect == "by_key" or cls.group == "all", f"{path}.group", "unused: not by_key")
+    for number, fault in enumerate(day.troubles):
+        _check_fault(day, fault, f"troubles[{number}]")
     day.settings(0, day.zones[0], 0, day.front.proxies)
     return day
 
 
 def _check_tier(day: Day, tier: Tier, path: str) -> None:
-    _need(1 <= tier.servers <= 20_000, f"{path}.servers", "must be from 1 to 20,000")
-    _need(1 <= tier.deep <= 64, f"{path}.deep", "must be from 1 to 64")
-    _need(not tier.speeds or len(tier.speeds) == tier.servers, f"{path}.speeds", "must name each server's")
-    _need(not tier.speeds or not tier.speed_cv, f"{path}.speed_cv", "unused: the speeds are given")
-    _need(min([tier.speed, *tier.speeds]) > 0, f"{path}.speed", "must be above 0")
-    _need(min(tier.cores, tier.slots, tier.cell_size) >= 1, path, "cores, slots, cell_size: at least 1")
-    _need(tier.room >= 0 and tier.calls >= 0 and tier.work >= 0, path, "room, calls, work: not below 0")
-    _need(0 < tier.cold_from <= 1, f"{path}.cold_from", "must be above 0 and at most 1")
-    _need(0 <= tier.full_tax < 1, f"{path}.full_tax", "must be from 0 to below 1")
-    _need(tier.report_period_ms > 0, f"{path}.report_period_ms", "must be above 0")
-    _need(tier.connections >= 1, f"{path}.connections", "must be at least 1")
-    _need(tier is not day.tiers[0] or tier.calls == 1, f"{path}.calls", "unused: the first tier gets one")
+    _require(1 <= tier.servers <= 20_000, f"{path}.servers", "must be from 1 to 20,000")
+    _require(1 <= tier.deep <= 64, f"{path}.deep", "must be from 1 to 64")
+    _require(not tier.speeds or len(tier.speeds) == tier.servers, f"{path}.speeds", "must name each server's")
+    _require(not tier.speeds or not tier.speed_cv, f"{path}.speed_cv", "unused: the speeds are given")
+    _require(min([tier.speed, *tier.speeds]) > 0, f"{path}.speed", "must be above 0")
+    _require(min(tier.cores, tier.slots, tier.cell_size) >= 1, path, "cores, slots, cell_size: at least 1")
+    _require(tier.room >= 0 and tier.calls >= 0 and tier.work >= 0, path, "room, calls, work: not below 0")
+    _require(0 < tier.cold_from <= 1, f"{path}.cold_from", "must be above 0 and at most 1")
+    _require(0 <= tier.full_tax < 1, f"{path}.full_tax", "must be from 0 to below 1")
+    _require(tier.report_period_ms > 0, f"{path}.report_period_ms", "must be above 0")
+    _require(tier.connections >= 1, f"{path}.connections", "must be at least 1")
+    _require(tier is not day.tiers[0] or tier.calls == 1, f"{path}.calls", "unused: the first tier gets one")
 
 
 def _check_traffic(day: Day) -> None:
     traffic = day.traffic
-    _need((traffic.rate_per_s > 0) != (traffic.load > 0), "traffic", "give rate_per_s or load")
-    _need(0 <= traffic.swing < 1, "traffic.swing", "must be from 0 to below 1")
-    _need((traffic.swing > 0) == (traffic.wave_s > 0), "traffic.wave_s", "goes with swing")
-    _need(not (traffic.swing and traffic.shape), "traffic.swing", "unused: the shape is given")
+    _require((traffic.rate_per_s > 0) != (traffic.load > 0), "traffic", "give rate_per_s or load")
+    _require(0 <= traffic.swing < 1, "traffic.swing", "must be from 0 to below 1")
+    _require((traffic.swing > 0) == (traffic.wave_s > 0), "traffic.wave_s", "goes with swing")
+    _require(not (traffic.swing and traffic.shape), "traffic.swing", "unused: the shape is given")
     times = [time for time, _ in traffic.shape]
-    _need(times == sorted(times), "traffic.shape", "must be in order of time")
-    _need(day.rate() <= 100_000, "traffic", "more than 100,000 requests a second")
-
-
-def _check_trouble(day: Day, trouble: Trouble, path: str) -> None:
-    _need(0 <= trouble.at_s < day.duration_s, f"{path}.at_s", "unused: the day is over by then")
-    _need(trouble.for_s > 0, f"{path}.for_s", "must be above 0")
-    if isinstance(trouble, Roll | Shrink | FastErrors | Hang | HeavyTail):
-        depths = day.depths()
-        _need(0 <= trouble.tier < len(depths), f"{path}.tier", f"no such tier: {trouble.tier}")
-        if isinstance(trouble, FastErrors | Hang):
-            most = depths[trouble.tier].servers
-            _need(1 <= trouble.servers <= most, f"{path}.servers", f"must be from 1 to {most}")
-        elif isinstance(trouble, Roll | Shrink):
-            _need(0 < trouble.part <= 1, f"{path}.part", "must be above 0 and at most 1")
-    if isinstance(trouble, ZoneLoss):
-        _need(trouble.zone in day.zones, f"{path}.zone", f"no such zone: {trouble.zone}")
-    if isinstance(trouble, HeavyTail):
-        known = [cls.name for cls in day.classes]
-        _need(trouble.cls in known, f"{path}.cls", f"no such class: {trouble.cls}")
+    _require(times == sorted(times), "traffic.shape", "must be in order of time")
+    _require(day.rate() <= 100_000, "traffic", "more than 100,000 requests a second")
+
+
+def _check_fault(day: Day, fault: Fault, path: str) -> None:
+    _require(0 <= fault.at_s < day.duration_s, f"{path}.at_s", "unused: the day is over by then")
+    _require(fault.for_s > 0, f"{path}.for_s", "must be above 0")
+    if isinstance(fault, Roll | Shrink | FastErrors | Hang | HeavyTail):
+        tiers = day.expanded_tiers()
+        _require(0 <= fault.tier < len(tiers), f"{path}.tier", f"no such tier: {fault.tier}")
+        if isinstance(fault, FastErrors | Hang):
+            max_servers = tiers[fault.tier].servers
+            _require(1 <= fault.servers <= max_servers, f"{path}.servers", f"must be from 1 to {max_servers}")
+        elif isinstance(fault, Roll | Shrink):
+            _require(0 < fault.part <= 1, f"{path}.part", "must be above 0 and at most 1")
+    if isinstance(fault, ZoneLoss):
+        _require(fault.zone in day.zones, f"{path}.zone", f"no such zone: {fault.zone}")
+    if isinstance(fault, HeavyTail):
+        class_names = [cls.name for cls in day.classes]
+        _require(fault.cls in class_names, f"{path}.cls", f"no such class: {fault.cls}")
 
 
 def parse(text: str | bytes) -> Day:
     """Raises ExperimentError."""
     try:
         return check(msgspec.toml.decode(text, type=Day))
-    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise ExperimentError(" ".join(str(fault).split())) from None
+    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ExperimentError(" ".join(str(error).split())) from None
 
 
 def load(path: Path) -> Day:
     """Raises ExperimentError, which names the file."""
     try:
         return parse(path.read_bytes())
-    except (OSError, ExperimentError) as fault:
-        raise ExperimentError(f"{path}: {fault}") from None
+    except (OSError, ExperimentError) as error:
+        raise ExperimentError(f"{path}: {error}") from None
--- a/granitepoint/emulator/drawn.py
+++ b/granitepoint/emulator/drawn.py
@@ -12,7 +12,7 @@
 from granitepoint.fleet.experiment import ExperimentError
 
 EFFECTS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
-CHOKE = {
+CHOKE_FIELDS = {
     "at": "at", "over": "over_s", "slower": "slower", "rest": "rest_s", "below": "below", "most": "most_s",
 }  # fmt: skip
 
@@ -20,31 +20,36 @@
 def load(path: Path) -> Day:
     """Raises ExperimentError, which names the file and what it lacks."""
     try:
-        drawn = json.loads(path.read_text(encoding="utf-8"))
-        fields = _day(drawn)
-        return check(msgspec.convert({**fields, "troubles": _troubles(drawn, fields)}, type=Day))
-    except (OSError, UnicodeDecodeError, ValueError, ExperimentError) as fault:
-        raise ExperimentError(f"{path}: {fault}") from None
-    except (KeyError, TypeError, IndexError) as fault:
-        raise ExperimentError(f"{path}: not a day of the simulator: {type(fault).__name__} {fault}") from None
+        generated = json.loads(path.read_text(encoding="utf-8"))
+        fields = _day(generated)
+        return check(msgspec.convert({**fields, "troubles": _faults(generated, fields)}, type=Day))
+    except (OSError, UnicodeDecodeError, ValueError, ExperimentError) as error:
+        raise ExperimentError(f"{path}: {error}") from None
+    except (KeyError, TypeError, IndexError) as error:
+        raise ExperimentError(f"{path}: not a day of the simulator: {type(error).__name__} {error}") from None
 
 
-def _s(microseconds: float) -> float:
+def _seconds(microseconds: float) -> float:
     return microseconds / 1e6
 
 
-def _day(drawn: dict[str, Any]) -> dict[str, Any]:
-    net, traffic, clients, allow = drawn["net"], drawn["traffic"], drawn["clients"], drawn["allow"]
-    first = [one for one in drawn["balancers"] if one["tier"] == 0]
-    conn = drawn["tiers"][0]
-    discovery = drawn["discovery"]
+def _day(generated: dict[str, Any]) -> dict[str, Any]:
+    net, traffic, clients, allow = (
+        generated["net"],
+        generated["traffic"],
+        generated["clients"],
+        generated["allow"],
+    )
+    proxies = [one for one in generated["balancers"] if one["tier"] == 0]
+    conn = generated["tiers"][0]
+    discovery = generated["discovery"]
     return {
-        "name": f"{drawn['site']}-{drawn['kind']}",
-        "seed": drawn["noise"] % 2**31,
-        "duration_s": _s(drawn["length"]),
-        "tick_ms": drawn["tick"] / 1e3,
-        "zones": drawn["zones"],
-        "passes_deadline": drawn["fam"]["passes_deadline"],
+        "name": f"{generated['site']}-{generated['kind']}",
+        "seed": generated["noise"] % 2**31,
+        "duration_s": _seconds(generated["length"]),
+        "tick_ms": generated["tick"] / 1e3,
+        "zones": generated["zones"],
+        "passes_deadline": generated["fam"]["passes_deadline"],
         "worth_by_work": traffic["worth_by_work"],
         "over_share_worth": traffic["over_share_worth"],
         "traffic": {"load": traffic["load"], "shape": traffic["shape"]},
@@ -64,19 +69,19 @@
         },
         "discovery": {
             "mode": "ask" if discovery["ask"] else "push",
-            "add_s": _s(discovery["add"]),
-            "notice_s": _s(discovery["notice"]),
-            "silent_notice_s": _s(discovery["silent_notice"]),
-            "period_s": _s(discovery["period"]),
-            "spread_s": _s(discovery["spread"]),
+            "add_s": _seconds(discovery["add"]),
+            "notice_s": _seconds(discovery["notice"]),
+            "silent_notice_s": _seconds(discovery["silent_notice"]),
+            "period_s": _seconds(discovery["period"]),
+            "spread_s": _seconds(discovery["spread"]),
             "lines_per_s": discovery["lines_per_s"],
             "call_lines": discovery["call_lines"],
-            "timeout_s": _s(discovery["timeout"]),
+            "timeout_s": _seconds(discovery["timeout"]),
         },
         "front": {
-            "proxies": len(first),
-            "notice_s": _s(drawn["front_notice"]),
-            "start_spread_s": _s(max(one["start"] for one in first)),
+            "proxies": len(proxies),
+            "notice_s": _seconds(generated["front_notice"]),
+            "start_spread_s": _seconds(max(one["start"] for one in proxies)),
         },
         "limits": {
             "max_attempts": allow["max_attempts"],
@@ -84,34 +89,34 @@
             "cancel": allow["cancel"],
             "probes": allow["probes"],
             "retry_after": allow["retry_after"],
-            "max_retry_after_s": _s(clients["max_retry_after"]),
-            "conn_idle_s": _s(conn["conn_idle"]),
+            "max_retry_after_s": _seconds(clients["max_retry_after"]),
+            "conn_idle_s": _seconds(conn["conn_idle"]),
             "connect_timeout_ms": conn["connect_timeout"] / 1e3,
         },
         "rules": {
-            "drain_grace_ms": drawn["drain_grace"] / 1e3,
+            "drain_grace_ms": generated["drain_grace"] / 1e3,
             "cold_from": conn["stated_cold_from"],
-            "cold_s": _s(conn["stated_cold"]),
-            "fall_multiple": drawn["fall_multiple"],
-            "fall_s": _s(drawn["fall_for"]),
+            "cold_s": _seconds(conn["stated_cold"]),
+            "fall_multiple": generated["fall_multiple"],
+            "fall_s": _seconds(generated["fall_for"]),
         },
         "prices": {
-            key: drawn["prices"][key]
+            key: generated["prices"][key]
             for key in ("cross_zone", "waste", "probe", "late_fail", "handshake", "discovery")
         },
-        "tiers": [_tier(drawn, number) for number in range(len(drawn["tiers"]))],
-        "classes": [_class(cls) for cls in drawn["classes"]],
+        "tiers": [_tier(generated, number) for number in range(len(generated["tiers"]))],
+        "classes": [_class(cls) for cls in generated["classes"]],
         "tenants": [
             {"name": t["name"], "share": t["share"], "traffic": t["traffic"], "quota": t["quota"]}
-            for t in drawn["tenants"]
+            for t in generated["tenants"]
         ],
     }
 
 
-def _tier(drawn: dict[str, Any], number: int) -> dict[str, Any]:
-    tier = drawn["tiers"][number]
+def _tier(generated: dict[str, Any], number: int) -> dict[str, Any]:
+    tier = generated["tiers"][number]
     kind = tier["kinds"][0]
-    servers = [one for one in drawn["servers"] if one["tier"] == number and one["up"]]
+    servers = [one for one in generated["servers"] if one["tier"] == number and one["up"]]
     cells = [one["cell"] for one in servers]
     tier_day = {
         "name": tier["name"],
@@ -126,7 +131,7 @@
         "thrash": kind["thrash"],
         "thrash_at": kind["knee"],
         "cold_from": kind["cold_from"],
-        "cold_s": _s(kind["cold"]),
+        "cold_s": _seconds(kind["cold"]),
         "error_rate": kind["error_rate"],
         "cancel": kind["cancel"],
         "drops_expired": kind["drops_expired"],
@@ -144,13 +149,14 @@
     choke = tier.get("choke")
     if choke:
         tier_day["choke"] = {
-            name: _s(choke[key]) if name.endswith("_s") else choke[key] for key, name in CHOKE.items()
+            name: _seconds(choke[key]) if name.endswith("_s") else choke[key]
+            for key, name in CHOKE_FIELDS.items()
         }
     return tier_day
 
 
 def _class(cls: dict[str, Any]) -> dict[str, Any]:
-    keyed = cls["effect"] == "keyed"
+    is_keyed = cls["effect"] == "keyed"
     return {
         "name": cls["name"],
         "share": cls["share"],
@@ -163,33 +169,36 @@
         "worth": cls["worth"],
         "late_worth": cls["late_worth"],
         "effect": EFFECTS[cls["effect"]],
-        "group": cls["group"] if keyed else "all",
-        "window_ms": cls["window"] / 1e3 if keyed else 0.0,
+        "group": cls["group"] if is_keyed else "all",
+        "window_ms": cls["window"] / 1e3 if is_keyed else 0.0,
     }
 
 
-def _troubles(drawn: dict[str, Any], fields: dict[str, Any]) -> list[dict[str, Any]]:
-    found = []
-    for trouble in drawn["troubles"]:
-        kind, tier = trouble["kind"], trouble["tier"]
-        each: dict[str, Any] = {"at_s": _s(trouble["at"]), "for_s": _s(trouble["len"])}
-        stopped = [len(step["stop"]) for step in trouble["steps"]]
+def _faults(generated: dict[str, Any], fields: dict[str, Any]) -> list[dict[str, Any]]:
+    faults = []
+    for fault in generated["troubles"]:
+        kind, tier = fault["kind"], fault["tier"]
+        fault_fields: dict[str, Any] = {"at_s": _seconds(fault["at"]), "for_s": _seconds(fault["len"])}
+        stopped_counts = [len(step["stop"]) for step in fault["steps"]]
         if kind == "deploy":
-            size = fields["tiers"][tier]["servers"]
-            each |= {"kind": "roll", "tier": tier, "drain_s": trouble["extra"]}
-            each |= {"part": sum(stopped) / size, "batch": max(stopped) / size}
+            server_count = fields["tiers"][tier]["servers"]
+            fault_fields |= {"kind": "roll", "tier": tier, "drain_s": fault["extra"]}
+            fault_fields |= {
+                "part": sum(stopped_counts) / server_count,
+                "batch": max(stopped_counts) / server_count,
+            }
         elif kind == "shrink":
-            each |= {"kind": "shrink", "tier": tier, "drain_s": trouble["extra"]}
-            each |= {"part": sum(stopped) / fields["tiers"][tier]["servers"]}
+            fault_fields |= {"kind": "shrink", "tier": tier, "drain_s": fault["extra"]}
+            fault_fields |= {"part": sum(stopped_counts) / fields["tiers"][tier]["servers"]}
         elif kind == "fast_errors":
-            each |= {"kind": kind, "tier": tier, "servers": len(trouble["on"]), "share": trouble["size"]}
+            fault_fields |= {"kind": kind, "tier": tier, "servers": len(fault["on"]), "share": fault["size"]}
         elif kind == "heavy_tail":
-            cls = fields["classes"][trouble["which"]]["name"]
-            each |= {"kind": kind, "tier": tier, "cls": cls}
-            each |= {"share": trouble["extra"], "times": trouble["size"]}
+            cls = fields["classes"][fault["which"]]["name"]
+            fault_fields |= {"kind": kind, "tier": tier, "cls": cls}
+            fault_fields |= {"share": fault["extra"], "times": fault["size"]}
         elif kind == "discovery_stale":
-            each |= {"kind": "stale_discovery", "behind_s": trouble["size"]}
+            fault_fields |= {"kind": "stale_discovery", "behind_s": fault["size"]}
         else:
             raise ExperimentError(f"troubles: {kind}: not known here")
-        found.append(each)
-    return found
+        faults.append(fault_fields)
+    return faults
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from granitepoint import interface as api
-from granitepoint.emulator.calls import Attempt, Call, End
+from granitepoint.emulator.calls import Attempt, Call, CallResult
 from granitepoint.emulator.server import Server
 from granitepoint.logic import Balancer
 
@@ -17,15 +17,15 @@
 NEVER_RAN = frozenset(int(status) for status in api.NEVER_RAN)
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections to one server: the process that each leads to, and when it was last used."""
 
-    __slots__ = ("idle", "server", "swept")
+    __slots__ = ("idle", "server", "sweep_scheduled")
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.idle: list[tuple[int, float]] = []
-        self.swept = False  # a look at their age is due
+        self.sweep_scheduled = False  # a look at their age is due
 
 
 class Instance:
@@ -37,60 +37,62 @@
         self.seed = seed
         self.settings = copy.copy(world.settings(stage, zone, balancers))
         self.settings.me = me
-        self.count = world.tally.depths[stage]
+        self.tier_counts = world.tally.depths[stage]
         self.registry = world.registries[stage]
         self.number: int = world.next_instance()
-        self.quantum = self.day.tick_ms / 1e3
-        self.idle_for = self.day.limits.conn_idle_s
+        self.tick = self.day.tick_ms / 1e3
+        self.idle_timeout = self.day.limits.conn_idle_s
         self.connect_timeout = self.day.limits.connect_timeout_ms / 1e3
         self.max_attempts = self.day.limits.max_attempts
         self.alive: bool = False
         self.silent = False  # it does not even refuse connections
-        self.life: int = 0
-        self._empty()
+        self.incarnation: int = 0
+        self._reset_state()
 
-    def _empty(self) -> None:
+    def _reset_state(self) -> None:
         self.inbox: list[api.Event] = []
-        self.due = -1  # the tick of the next batch; -1: none
+        self.next_batch_tick = -1  # the tick of the next batch; -1: none
         self.calls: dict[int, Call] = {}
-        self.out: dict[Attempt, None] = {}
-        self.pools: dict[int, Pool] = {}
-        self.known: set[int] = set()  # servers that its lists have named
-        self.left: dict[int, float] = {}  # servers that drain or are gone, and since when it knows
-        self.told: dict[int, float] = {}  # the start that the last list told of each server
+        self.attempts_in_flight: dict[Attempt, None] = {}
+        self.pools: dict[int, ConnectionPool] = {}
+        self.listed_servers: set[int] = set()  # servers that its lists have named
+        self.leaving_since: dict[int, float] = {}  # servers that drain or are gone, and since when it knows
+        self.notified_starts: dict[int, float] = {}  # the start that the last list told of each server
         self.version = 0
         self.watching = False
 
     def start(self) -> None:
         """A new process: it knows the list as last held."""
-        self._empty()
-        self.life += 1
+        self._reset_state()
+        self.incarnation += 1
         self.alive, self.silent = True, False
-        self.balancer = Balancer(self.settings, self.seed + self.life)
+        self.balancer = Balancer(self.settings, self.seed + self.incarnation)
         self.registry.join(self)
 
-    def kill(self, silent: bool = False) -> None:
+    def terminate(self, silent: bool = False) -> None:
         """The process ends with all that it held. Where it went silent its callers wait in vain."""
         if not self.alive:
             return
         self.alive, self.silent = False, silent
-        self.life += 1
+        self.incarnation += 1
         self.registry.leave(self)
         for pool in self.pools.values():
-            pool.server.open -= sum(1 for life, _ in pool.idle if life == pool.server.life)
-        calls, out = list(self.calls.values()), list(self.out)
-        self._empty()
-        for attempt in out:
+            pool.server.open_connections -= sum(
+                1 for incarnation, _ in pool.idle if incarnation == pool.server.incarnation
+            )
+        calls, in_flight = list(self.calls.values()), list(self.attempts_in_flight)
+        self._reset_state()
+        for attempt in in_flight:
             attempt.status = int(api.Status.RESET)
-            attempt.call.out -= 1
+            attempt.call.in_flight -= 1
             self._drop_connection(attempt)
             attempt.server.abandon(attempt)
         for call in calls:
             if not call.ended:
                 call.ended = True
-                self.loop.at(call.deadline if silent else self.loop.now, self._lost, call)
+                self.loop.call_at(call.deadline if silent else self.loop.now, self._report_lost, call)
 
-    def state(self) -> tuple[float, float, int, int]:
+    def admission_state(self) -> tuple[float, float, int, int]:
         """Its limit of calls in flight, the share it means to refuse, attempts in flight and calls held."""
         balancer = self.balancer
         return (
@@ -104,41 +106,43 @@
     def post(self, event: api.Event) -> None:
         """Put an event into the next batch."""
         self.inbox.append(event)
-        if self.due < 0:
-            self.due = int(self.loop.now / self.quantum) + 1
-            self.loop.at(self.due * self.quantum, self._batch, (self.life, self.due))
+        if self.next_batch_tick < 0:
+            self.next_batch_tick = int(self.loop.now / self.tick) + 1
+            self.loop.call_at(
+                self.next_batch_tick * self.tick, self._run_batch, (self.incarnation, self.next_batch_tick)
+            )
 
-    def post_list(self, kind: api.ListKind, entries: list[api.ServerEntry], version: int) -> None:
+    def receive_list(self, kind: api.ListKind, entries: list[api.ServerEntry], version: int) -> None:
         if kind is not api.ListKind.FAILED:
             now = self.loop.now
             for entry in entries:
-                self.known.add(entry.server)
+                self.listed_servers.add(entry.server)
                 if entry.started_at:
-                    self.told[entry.server] = entry.started_at
+                    self.notified_starts[entry.server] = entry.started_at
                 if entry.state is api.ServerState.SERVING:
-                    self.left.pop(entry.server, None)
+                    self.leaving_since.pop(entry.server, None)
                 else:
-                    self.left.setdefault(entry.server, now)
+                    self.leaving_since.setdefault(entry.server, now)
             if kind is not api.ListKind.INCREMENTAL:
-                named = {entry.server for entry in entries}
-                for server in self.known:
-                    if server not in named:
-                        self.left.setdefault(server, now)
+                listed = {entry.server for entry in entries}
+                for server in self.listed_servers:
+                    if server not in listed:
+                        self.leaving_since.setdefault(server, now)
             self.version = version
         self.post(api.ServerList(kind, entries, version))
 
     def knows_start(self, server: Server) -> bool:
-        return self.told.get(server.id, -1.0) >= server.started_at
+        return self.notified_starts.get(server.id, -1.0) >= server.started_at
 
-    def _batch(self, which: tuple[int, int]) -> None:
-        if which == (self.life, self.due):
-            self.due = -1
+    def _run_batch(self, argument: tuple[int, int]) -> None:
+        if argument == (self.incarnation, self.next_batch_tick):
+            self.next_batch_tick = -1
             self._handle()
 
-    def _timer(self, which: tuple[int, int]) -> None:
-        if which[0] == self.life:
-            self.inbox.append(api.Timer(which[1]))
-            self.due = -1
+    def _on_timer(self, argument: tuple[int, int]) -> None:
+        if argument[0] == self.incarnation:
+            self.inbox.append(api.Timer(argument[1]))
+            self.next_batch_tick = -1
             self._handle()
 
     def _handle(self) -> None:
@@ -151,15 +155,15 @@
             elif kind is api.Send:
                 self._send(action)  # type: ignore[arg-type]
             elif kind is api.Probe:
-                self._probe(action.server)  # type: ignore[union-attr]
+                self._send_probe(action.server)  # type: ignore[union-attr]
             else:
-                self._do(action)
+                self._perform(action)
 
-    def _do(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         if isinstance(action, api.Refuse):
-            self._answer(action.call, End.REFUSED, action.retry_after)
+            self._answer(action.call, CallResult.REFUSED, action.retry_after)
         elif isinstance(action, api.Fail):
-            self._answer(action.call, End.FAILED, 0.0)
+            self._answer(action.call, CallResult.FAILED, 0.0)
         elif isinstance(action, api.Cancel):
             self._cancel(action)
         elif isinstance(action, api.CloseIdle):
@@ -169,65 +173,65 @@
         elif isinstance(action, api.Fetch):
             self.registry.fetch(self)
         elif not isinstance(action, api.Log):
-            self.tally.breaks["out_of_place"] += 1
+            self.tally.violations["out_of_place"] += 1
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        tick = max(math.ceil((self.loop.now + action.delay) / self.quantum - 1e-6), 1)
-        self.loop.at(tick * self.quantum, self._timer, (self.life, action.token))
+        tick = max(math.ceil((self.loop.now + action.delay) / self.tick - 1e-6), 1)
+        self.loop.call_at(tick * self.tick, self._on_timer, (self.incarnation, action.token))
 
     # -- calls
-    def take(self, call: Call) -> None:
+    def accept(self, call: Call) -> None:
         """A call comes in. What can't reach a live instance is lost."""
         if call.ended:
             return
         if not self.alive:
             call.ended = True
-            self.loop.at(self.loop.now + self.connect_timeout * self.silent, self._lost, call)
+            self.loop.call_at(self.loop.now + self.connect_timeout * self.silent, self._report_lost, call)
             return
         call.instance = self
         call.deadline = self.loop.now + call.event.budget
         self.calls[call.id] = call
-        self.count.calls += 1
+        self.tier_counts.calls += 1
         slack = self.day.rules.grace_to_answer_ms / 1e3 + 1e-9
-        self.loop.at(call.deadline + slack, self._overdue, call)
+        self.loop.call_at(call.deadline + slack, self._on_overdue, call)
         self.post(call.event)
 
     @staticmethod
-    def _lost(call: Call) -> None:
-        call.asker.answered(call, End.LOST, 0.0, None)
+    def _report_lost(call: Call) -> None:
+        call.caller.on_call_ended(call, CallResult.LOST, 0.0, None)
 
-    def leave(self, call: Call) -> None:
+    def caller_left(self, call: Call) -> None:
         """Its asker waits no longer."""
         if not call.ended:
             call.ended = True
-            if not call.out:
+            if not call.in_flight:
                 self.calls.pop(call.id, None)
             if self.alive:
                 self.post(api.Gone(call.id))
 
-    def _overdue(self, call: Call) -> None:
+    def _on_overdue(self, call: Call) -> None:
         if not call.ended:
-            self.tally.breaks["unanswered"] += 1
-            self.leave(call)
-            call.asker.answered(call, End.LOST, 0.0, None)
+            self.tally.violations["unanswered"] += 1
+            self.caller_left(call)
+            call.caller.on_call_ended(call, CallResult.LOST, 0.0, None)
 
-    def _answer(self, id: int, end: End, retry_after: float) -> None:
+    def _answer(self, id: int, result: CallResult, retry_after: float) -> None:
         call = self.calls.get(id)
         if call is None or call.ended:
             return  # it has ended meanwhile
-        if end is End.REFUSED and not self._may_refuse(call):
-            self.tally.breaks["repeat"] += 1
-        if end is End.REFUSED:
-            self.count.refused += 1
+        if result is CallResult.REFUSED and not self._may_refuse(call):
+            self.tally.violations["repeat"] += 1
+        if result is CallResult.REFUSED:
+            self.tier_counts.refused += 1
         else:
-            self.count.failed += 1
-        self._end(call, end, retry_after, None)
+            self.tier_counts.failed += 1
+        self._end_call(call, result, retry_after, None)
 
-    def _end(self, call: Call, end: End, retry_after: float, attempt: Attempt | None) -> None:
+    def _end_call(self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None) -> None:
         call.ended = True
-        if not call.out:
+        if not call.in_flight:
             self.calls.pop(call.id, None)
-        call.asker.answered(call, end, retry_after, attempt)
+        call.caller.on_call_ended(call, result, retry_after, attempt)
 
     def _may_refuse(self, call: Call) -> bool:
         cls = call.request.cls
@@ -238,7 +242,7 @@
     def _may_repeat(self, call: Call, server: Server) -> bool:
         """Whether the rule on double effects lets a further attempt go to this server now."""
         cls = call.request.cls
-        if call.out and not self.day.limits.duplicates:
+        if call.in_flight and not self.day.limits.duplicates:
             return False
         first = next((one for one in call.attempts if one.status not in NEVER_RAN), None)
         if first is None or cls.effect == "repeatable":
@@ -247,70 +251,73 @@
             return False
         if cls.group == "all":
             return True
-        there = first.server
-        return there.zone == server.zone and (cls.group == "zone" or there.cell == server.cell)
+        first_server = first.server
+        return first_server.zone == server.zone and (cls.group == "zone" or first_server.cell == server.cell)
 
     # -- attempts
     def _send(self, action: api.Send) -> None:
         call, server, now = self.calls.get(action.call), self.world.servers.get(action.server), self.loop.now
-        if call is None or server is None or server.id not in self.known:
-            self.tally.breaks["out_of_place"] += 1
+        if call is None or server is None or server.id not in self.listed_servers:
+            self.tally.violations["out_of_place"] += 1
             return
         number = len(call.attempts)
         deadline = min(call.deadline, now + action.timeout) if action.timeout > 0 else call.deadline
         attempt = Attempt(call, number, self, server, now, deadline)
         if call.ended or number >= self.max_attempts or deadline <= now:
             call.attempts.append(attempt)
-            call.out += 1
-            self._settle(attempt, api.Status.MOOT)
+            call.in_flight += 1
+            self._finish_attempt(attempt, api.Status.MOOT)
             return
         if number and not self._may_repeat(call, server):
-            self.tally.breaks["repeat"] += 1
-        if server.id in self.left and now > self.left[server.id] + self.day.rules.drain_grace_ms / 1e3:
-            self.tally.breaks["drain"] += 1
+            self.tally.violations["repeat"] += 1
+        if (
+            server.id in self.leaving_since
+            and now > self.leaving_since[server.id] + self.day.rules.drain_grace_ms / 1e3
+        ):
+            self.tally.violations["drain"] += 1
         call.attempts.append(attempt)
-        call.out += 1
-        self.out[attempt] = None
-        self.count.attempts += 1
+        call.in_flight += 1
+        self.attempts_in_flight[attempt] = None
+        self.tier_counts.attempts += 1
         call.request.window.attempts += 1
-        self._carry(attempt, action)
+        self._transmit(attempt, action)
 
-    def _carry(self, attempt: Attempt, action: api.Send) -> None:
+    def _transmit(self, attempt: Attempt, action: api.Send) -> None:
         """Send it over an idle connection, or open one for it."""
         server, loop = attempt.server, self.loop
         delay = self.world.delay(self.zone, server.zone)
-        rested = self._take_idle(server, action.trust)
-        if rested is not None:
-            attempt.rested = max(rested, 1e-9)
-            loop.at(loop.now + delay, server.receive, attempt)
-        elif server.silent or (server.up and server.open >= server.tier.connections):
-            attempt.life = -1  # no connection
-            loop.at(loop.now + self.connect_timeout, self._not_connected, attempt)
+        idle_for = self._take_idle_connection(server, action.trust)
+        if idle_for is not None:
+            attempt.idle_for = max(idle_for, 1e-9)
+            loop.call_at(loop.now + delay, server.receive, attempt)
+        elif server.silent or (server.up and server.open_connections >= server.tier.connections):
+            attempt.incarnation = -1  # no connection
+            loop.call_at(loop.now + self.connect_timeout, self._on_connect_failed, attempt)
         elif not server.up:
-            attempt.life = -1
-            loop.at(loop.now + 2 * delay, self._not_connected, attempt)
+            attempt.incarnation = -1
+            loop.call_at(loop.now + 2 * delay, self._on_connect_failed, attempt)
         else:
             tier = server.tier
             delay *= 1 + 2 * tier.handshake_rtts
-            server.open += 1
-            attempt.overhead = tier.handshake_us / 1e6
-            self.count.handshakes += 1
+            server.open_connections += 1
+            attempt.handshake_work = tier.handshake_us / 1e6
+            self.tier_counts.handshakes += 1
             if delay > action.within:
-                server.open -= 1
-                attempt.life = -1
-                self._settle(attempt, api.Status.MOOT)
+                server.open_connections -= 1
+                attempt.incarnation = -1
+                self._finish_attempt(attempt, api.Status.MOOT)
                 return
-            loop.at(loop.now + delay, server.receive, attempt)
-        loop.at(attempt.deadline, self._timed_out, attempt)
+            loop.call_at(loop.now + delay, server.receive, attempt)
+        loop.call_at(attempt.deadline, self._on_timeout, attempt)
 
-    def _not_connected(self, attempt: Attempt) -> None:
+    def _on_connect_failed(self, attempt: Attempt) -> None:
         if attempt.status < 0:
-            self._settle(attempt, api.Status.CONNECT_FAILED)
+            self._finish_attempt(attempt, api.Status.CONNECT_FAILED)
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _on_timeout(self, attempt: Attempt) -> None:
         if attempt.status < 0:
             self._drop_connection(attempt)
-            self._settle(attempt, api.Status.TIMEOUT)
+            self._finish_attempt(attempt, api.Status.TIMEOUT)
             attempt.server.abandon(attempt)
 
     def _cancel(self, action: api.Cancel) -> None:
@@ -320,116 +327,122 @@
         attempt = call.attempts[action.attempt]
         if attempt.status < 0:
             self._drop_connection(attempt)
-            self._settle(attempt, api.Status.CANCELLED)
+            self._finish_attempt(attempt, api.Status.CANCELLED)
             attempt.server.abandon(attempt)
 
-    def replied(self, attempt: Attempt) -> None:
+    def on_reply(self, attempt: Attempt) -> None:
         """Its server's answer comes back."""
         if attempt.status >= 0:
             return
-        if attempt.reply != api.Status.RESET and attempt.life == attempt.server.life:
+        if attempt.reply_status != api.Status.RESET and attempt.incarnation == attempt.server.incarnation:
             self._keep_connection(attempt.server)
-        self._settle(attempt, api.Status(attempt.reply))
+        self._finish_attempt(attempt, api.Status(attempt.reply_status))
 
-    def _settle(self, attempt: Attempt, status: api.Status) -> None:
+    def _finish_attempt(self, attempt: Attempt, status: api.Status) -> None:
         call, now = attempt.call, self.loop.now
         attempt.status = int(status)
-        call.out -= 1
-        self.out.pop(attempt, None)
-        self._count(status)
+        call.in_flight -= 1
+        self.attempts_in_flight.pop(attempt, None)
+        self._count_status(status)
         if status == api.Status.OK and not call.ended:
-            self.count.served += 1
-            self._end(call, End.SERVED, 0.0, attempt)
-        elif call.ended and not call.out:
+            self.tier_counts.served += 1
+            self._end_call(call, CallResult.SERVED, 0.0, attempt)
+        elif call.ended and not call.in_flight:
             self.calls.pop(call.id, None)
         self.post(
             api.Outcome(
                 call.id, attempt.number, attempt.server.id, int(status), now - attempt.sent_at, call.ended,
-                None, attempt.rested,
+                None, attempt.idle_for,
             )
         )  # fmt: skip
 
-    def _count(self, status: api.Status) -> None:
-        count = self.count
+    def _count_status(self, status: api.Status) -> None:
+        counts = self.tier_counts
         if status == api.Status.FULL:
-            count.full += 1
+            counts.full += 1
         elif status == api.Status.ERROR:
-            count.errors += 1
+            counts.errors += 1
         elif status == api.Status.TIMEOUT:
-            count.timeouts += 1
+            counts.timeouts += 1
         elif status == api.Status.CONNECT_FAILED:
-            count.connect_failed += 1
+            counts.connect_failed += 1
         elif status == api.Status.RESET:
-            count.resets += 1
+            counts.resets += 1
 
     # -- connections
-    def _take_idle(self, server: Server, trust: float) -> float | None:
+    def _take_idle_connection(self, server: Server, max_idle_age: float) -> float | None:
         """How long the one that is taken had not been used; None: there is none."""
         pool = self.pools.get(server.id)
         while pool is not None and pool.idle:
-            life, used_at = pool.idle.pop()
-            rested = self.loop.now - used_at
-            if life != server.life and not server.silent:
+            incarnation, used_at = pool.idle.pop()
+            idle_for = self.loop.now - used_at
+            if incarnation != server.incarnation and not server.silent:
                 continue  # its end was seen when the process ended
-            if rested <= min(trust, self.idle_for):
-                return rested
-            if life == server.life:
-                server.open -= 1
+            if idle_for <= min(max_idle_age, self.idle_timeout):
+                return idle_for
+            if incarnation == server.incarnation:
+                server.open_connections -= 1
         return None
 
     def _keep_connection(self, server: Server) -> None:
         pool = self.pools.get(server.id)
         if pool is None:
-            pool = self.pools[server.id] = Pool(server)
-        pool.idle.append((server.life, self.loop.now))
-        if not pool.swept:
-            pool.swept = True
-            self.loop.at(self.loop.now + self.idle_for, self._sweep, (self.life, pool))
-
-    def _sweep(self, which: tuple[int, Pool]) -> None:
-        life, pool = which
-        if life != self.life:
+            pool = self.pools[server.id] = ConnectionPool(server)
+        pool.idle.append((server.incarnation, self.loop.now))
+        if not pool.sweep_scheduled:
+            pool.sweep_scheduled = True
+            self.loop.call_at(
+                self.loop.now + self.idle_timeout, self._close_expired, (self.incarnation, pool)
+            )
+
+    def _close_expired(self, argument: tuple[int, ConnectionPool]) -> None:
+        incarnation, pool = argument
+        if incarnation != self.incarnation:
             return
-        oldest = self.loop.now - self.idle_for
+        oldest = self.loop.now - self.idle_timeout
         while pool.idle and pool.idle[0][1] <= oldest + 1e-9:
-            if pool.idle.pop(0)[0] == pool.server.life:
-                pool.server.open -= 1
-        pool.swept = bool(pool.idle)
+            if pool.idle.pop(0)[0] == pool.server.incarnation:
+                pool.server.open_connections -= 1
+        pool.sweep_scheduled = bool(pool.idle)
         if pool.idle:
-            self.loop.at(pool.idle[0][1] + self.idle_for, self._sweep, which)
+            self.loop.call_at(pool.idle[0][1] + self.idle_timeout, self._close_expired, argument)
 
     def _drop_connection(self, attempt: Attempt) -> None:
         """It still carries an answer that nobody waits for: it is closed."""
-        if attempt.life == attempt.server.life and attempt.server.up:
-            attempt.server.open -= 1
+        if attempt.incarnation == attempt.server.incarnation and attempt.server.up:
+            attempt.server.open_connections -= 1
 
     def _close_idle(self, id: int) -> None:
         pool = self.pools.get(id)
         if pool is not None:
-            pool.server.open -= sum(1 for life, _ in pool.idle if life == pool.server.life)
+            pool.server.open_connections -= sum(
+                1 for incarnation, _ in pool.idle if incarnation == pool.server.incarnation
+            )
             pool.idle.clear()
 
     # -- probes
-    def _probe(self, id: int) -> None:
+    def _send_probe(self, id: int) -> None:
         server = self.world.servers.get(id)
-        if server is None or id not in self.known:
-            self.tally.breaks["out_of_place"] += 1
+        if server is None or id not in self.listed_servers:
+            self.tally.violations["out_of_place"] += 1
             return
-        self.count.probes += 1
+        self.tier_counts.probes += 1
         delay = self.world.delay(self.zone, server.zone)
-        self.loop.at(self.loop.now + delay, self._probe_there, (self.life, server, self.loop.now, delay))
+        self.loop.call_at(
+            self.loop.now + delay, self._on_probe_arrived, (self.incarnation, server, self.loop.now, delay)
+        )
 
-    def _probe_there(self, about: tuple[int, Server, float, float]) -> None:
-        life, server, sent_at, delay = about
+    def _on_probe_arrived(self, argument: tuple[int, Server, float, float]) -> None:
+        incarnation, server, sent_at, delay = argument
         status, report = api.Status.CONNECT_FAILED, None
-        back = self.loop.now + delay
+        returns_at = self.loop.now + delay
         if server.silent:
-            status, back = api.Status.TIMEOUT, sent_at + server.tier.probe_timeout_ms / 1e3
+            status, returns_at = api.Status.TIMEOUT, sent_at + server.tier.probe_timeout_ms / 1e3
         elif server.up:
-            status, report = server.probed()
-        event = api.Probed(server.id, int(status), back - sent_at, report)
-        self.loop.at(back, self._probe_back, (life, event))
+            status, report = server.answer_probe()
+        event = api.Probed(server.id, int(status), returns_at - sent_at, report)
+        self.loop.call_at(returns_at, self._on_probe_returned, (incarnation, event))
 
-    def _probe_back(self, about: tuple[int, api.Probed]) -> None:
-        if about[0] == self.life:
-            self.post(about[1])
+    def _on_probe_returned(self, argument: tuple[int, api.Probed]) -> None:
+        if argument[0] == self.incarnation:
+            self.post(argument[1])
--- a/granitepoint/emulator/registry.py
+++ b/granitepoint/emulator/registry.py
@@ -14,85 +14,89 @@
     from granitepoint.emulator.world import World
 
 
-class Desk:
+class DiscoveryEndpoint:
     """The one service that all instances ask: calls are answered in turn, each at the price of its lines."""
 
     def __init__(self, world: World) -> None:
-        self.sizes, self.loop = world.day.discovery, world.loop
+        self.config, self.loop = world.day.discovery, world.loop
         self.free_at = 0.0
 
-    def ask(self, lines: int) -> tuple[float, bool]:
+    def schedule_call(self, lines: int) -> tuple[float, bool]:
         """When a call that brings so many lines is over, and whether it is answered."""
-        now, sizes = self.loop.now, self.sizes
-        begin = max(now, self.free_at)
-        if begin > now + sizes.timeout_s:
-            return now + sizes.timeout_s, False
-        self.free_at = begin + (sizes.call_lines + lines) / sizes.lines_per_s
+        now, config = self.loop.now, self.config
+        start = max(now, self.free_at)
+        if start > now + config.timeout_s:
+            return now + config.timeout_s, False
+        self.free_at = start + (config.call_lines + lines) / config.lines_per_s
         return self.free_at, True
 
 
 class Registry:
     """What discovery says of a tier's servers. It knows of processes that run, drain or are gone."""
 
-    def __init__(self, world: World, desk: Desk, random: Random) -> None:
-        self.world, self.loop, self.sizes = world, world.loop, world.day.discovery
-        self.desk, self.random = desk, random
+    def __init__(self, world: World, endpoint: DiscoveryEndpoint, random: Random) -> None:
+        self.world, self.loop, self.config = world, world.loop, world.day.discovery
+        self.endpoint, self.random = endpoint, random
         self.entries: dict[int, ServerEntry] = {}  # the present version
-        self.log: list[ServerEntry] = []  # all changes; a version is a place in it
+        self.changes: list[ServerEntry] = []  # all changes; a version is a place in it
         self.watchers: dict[int, Instance] = {}
-        self.push_due = False
-        self.behind = 0.0  # s that everything comes later by, in a trouble
-        self._slices: dict[int, list[ServerEntry]] = {}
+        self.push_scheduled = False
+        self.extra_delay = 0.0  # s that everything comes later by, in a trouble
+        self._changes_by_version: dict[int, list[ServerEntry]] = {}
 
     # -- what happens to servers
-    def enrol(self, server: Server) -> None:
+    def add_initial(self, server: Server) -> None:
         """One that was there before the day began."""
-        self.entries[server.id] = server.entry(ServerState.SERVING)
+        self.entries[server.id] = server.list_entry(ServerState.SERVING)
 
-    def started(self, server: Server) -> None:
-        self._announce(server.entry(ServerState.SERVING), self.sizes.add_s)
+    def on_started(self, server: Server) -> None:
+        self._schedule_entry(server.list_entry(ServerState.SERVING), self.config.add_s)
 
-    def drains(self, server: Server) -> None:
-        self._announce(server.entry(ServerState.DRAINING), 0.0)
+    def on_draining(self, server: Server) -> None:
+        self._schedule_entry(server.list_entry(ServerState.DRAINING), 0.0)
 
-    def lost(self, server: Server, silent: bool) -> None:
-        sizes = self.sizes
-        self._announce(server.entry(ServerState.GONE), sizes.silent_notice_s if silent else sizes.notice_s)
+    def on_lost(self, server: Server, silent: bool) -> None:
+        config = self.config
+        self._schedule_entry(
+            server.list_entry(ServerState.GONE), config.silent_notice_s if silent else config.notice_s
+        )
 
-    def _announce(self, entry: ServerEntry, delay: float) -> None:
+    def _schedule_entry(self, entry: ServerEntry, delay: float) -> None:
         """It is in the first version after the delay."""
-        due = self.loop.now + delay + self.behind
-        version = math.floor(due / self.sizes.period_s) + 1
-        self.loop.at(version * self.sizes.period_s, self._publish, (entry, self.loop.now))
-
-    def _publish(self, about: tuple[ServerEntry, float]) -> None:
-        entry, known_at = about
-        held = self.entries.get(entry.server)
-        if held is not None and held.started_at > entry.started_at:
+        due = self.loop.now + delay + self.extra_delay
+        version = math.floor(due / self.config.period_s) + 1
+        self.loop.call_at(version * self.config.period_s, self._publish, (entry, self.loop.now))
+
+    def _publish(self, argument: tuple[ServerEntry, float]) -> None:
+        entry, occurred_at = argument
+        listed = self.entries.get(entry.server)
+        if listed is not None and listed.started_at > entry.started_at:
             return  # a later process is listed already
         if entry.state is ServerState.GONE:
             server = self.world.servers[entry.server]
-            if server.up and server.started_at > known_at:
+            if server.up and server.started_at > occurred_at:
                 return  # it came back before its loss was noticed
             self.entries.pop(entry.server, None)
         else:
             self.entries[entry.server] = entry
-        self.log.append(entry)
-        self._slices.clear()
-        if not self.push_due:
-            self.push_due = True
-            self.loop.at(self.loop.now, self._push)
+        self.changes.append(entry)
+        self._changes_by_version.clear()
+        if not self.push_scheduled:
+            self.push_scheduled = True
+            self.loop.call_at(self.loop.now, self._push)
 
     def _push(self, _: object) -> None:
-        self.push_due = False
-        now, spread = self.loop.now, self.sizes.spread_s
+        self.push_scheduled = False
+        now, spread = self.loop.now, self.config.spread_s
         for instance in self.watchers.values():
-            self.loop.at(now + spread * self.random.random(), self._tell, (instance, instance.life))
+            self.loop.call_at(
+                now + spread * self.random.random(), self._send_changes, (instance, instance.incarnation)
+            )
 
     # -- instances
     def join(self, instance: Instance) -> None:
-        instance.post_list(ListKind.SAVED, list(self.entries.values()), len(self.log))
-        if self.sizes.mode == "push":
+        instance.receive_list(ListKind.SAVED, list(self.entries.values()), len(self.changes))
+        if self.config.mode == "push":
             self.watchers[instance.number] = instance
 
     def leave(self, instance: Instance) -> None:
@@ -102,37 +106,49 @@
         if not on:
             self.leave(instance)
             return
-        due, answered = self.desk.ask(len(self.log) - instance.version)
-        self.loop.at(due, self._watched if answered else self._failed, (instance, instance.life))
+        due, answered = self.endpoint.schedule_call(len(self.changes) - instance.version)
+        self.loop.call_at(
+            due,
+            self._on_watch_answered if answered else self._on_call_failed,
+            (instance, instance.incarnation),
+        )
 
     def fetch(self, instance: Instance) -> None:
-        due, answered = self.desk.ask(len(self.entries))
-        self.loop.at(due, self._fetched if answered else self._failed, (instance, instance.life))
-
-    def _watched(self, who: tuple[Instance, int]) -> None:
-        instance, life = who
-        if instance.life == life:
+        due, answered = self.endpoint.schedule_call(len(self.entries))
+        self.loop.call_at(
+            due,
+            self._on_fetch_answered if answered else self._on_call_failed,
+            (instance, instance.incarnation),
+        )
+
+    def _on_watch_answered(self, argument: tuple[Instance, int]) -> None:
+        instance, incarnation = argument
+        if instance.incarnation == incarnation:
             self.watchers[instance.number] = instance
-            instance.post_list(ListKind.INCREMENTAL, self._since(instance.version), len(self.log))
-
-    def _fetched(self, who: tuple[Instance, int]) -> None:
-        instance, life = who
-        if instance.life == life:
-            instance.post_list(ListKind.FULL, list(self.entries.values()), len(self.log))
-
-    def _failed(self, who: tuple[Instance, int]) -> None:
-        instance, life = who
-        if instance.life == life:
+            instance.receive_list(
+                ListKind.INCREMENTAL, self._changes_since(instance.version), len(self.changes)
+            )
+
+    def _on_fetch_answered(self, argument: tuple[Instance, int]) -> None:
+        instance, incarnation = argument
+        if instance.incarnation == incarnation:
+            instance.receive_list(ListKind.FULL, list(self.entries.values()), len(self.changes))
+
+    def _on_call_failed(self, argument: tuple[Instance, int]) -> None:
+        instance, incarnation = argument
+        if instance.incarnation == incarnation:
             self.leave(instance)
-            instance.post_list(ListKind.FAILED, [], instance.version)
+            instance.receive_list(ListKind.FAILED, [], instance.version)
 
-    def _tell(self, who: tuple[Instance, int]) -> None:
-        instance, life = who
-        if instance.life == life and instance.version < len(self.log):
-            instance.post_list(ListKind.INCREMENTAL, self._since(instance.version), len(self.log))
+    def _send_changes(self, argument: tuple[Instance, int]) -> None:
+        instance, incarnation = argument
+        if instance.incarnation == incarnation and instance.version < len(self.changes):
+            instance.receive_list(
+                ListKind.INCREMENTAL, self._changes_since(instance.version), len(self.changes)
+            )
 
-    def _since(self, version: int) -> list[ServerEntry]:
+    def _changes_since(self, version: int) -> list[ServerEntry]:
         """All changes after that version; instances share the list and don't change it."""
-        if version not in self._slices:
-            self._slices[version] = self.log[version:]
-        return self._slices[version]
+        if version not in self._changes_by_version:
+            self._changes_by_version[version] = self.changes[version:]
+        return self._changes_by_version[version]
--- a/granitepoint/emulator/server.py
+++ b/granitepoint/emulator/server.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from granitepoint.emulator.calls import Attempt, Call, End, State, draw
+from granitepoint.emulator.calls import Attempt, Call, CallResult, AttemptState, draw
 from granitepoint.emulator.day import Tier
 from granitepoint.interface import ServerEntry, ServerState, Status
 
@@ -16,11 +16,11 @@
     from granitepoint.emulator.instance import Instance
     from granitepoint.emulator.world import World
 
-FIRST_PART = 0.5  # of an attempt's work that is done before its calls
-FAST_ERROR = 1e-3  # s until a struck server has failed a request
-DONE = 1e-9  # core seconds that count as none
-TAKING = 0.5  # of a drain's time, in which new requests are still taken: the lists come late
-REST_PARTS = 4  # of the time of rest, at which a choked server is looked at
+WORK_SHARE_BEFORE_CALLS = 0.5  # of an attempt's work that is done before its calls
+FAST_ERROR_TIME = 1e-3  # s until a struck server has failed a request
+WORK_EPSILON = 1e-9  # core seconds that count as none
+DRAIN_ACCEPT_SHARE = 0.5  # of a drain's time, in which new requests are still taken: the lists come late
+REST_CHECKS = 4  # of the time of rest, at which a choked server is looked at
 
 
 class Server:
@@ -47,147 +47,161 @@
         self.zone: str = zone
         self.id: int = id
         self.tier, self.cell = tier, cell
-        self.count = world.tally.depths[depth]
+        self.tier_counts = world.tally.depths[depth]
         self.random = random
         self.speed, self.cores = speed, tier.cores
-        self.next_calls = world.tiers[depth + 1].calls if depth + 1 < len(world.tiers) else 0.0
+        self.calls_to_next_tier = world.tiers[depth + 1].calls if depth + 1 < len(world.tiers) else 0.0
         self.instance: Instance | None = None  # for its calls to the next tier
-        self.life: int = 0  # which process
+        self.incarnation: int = 0  # which process
         self.up: bool = True
         self.draining = self.silent = self.hung = False
-        self.closing_at = math.inf  # from then on it turns new requests away
-        self.fail_share = 0.0
+        self.rejects_from = math.inf  # from then on it turns new requests away
+        self.error_share = 0.0
         self.report_phase = random.random() * tier.report_period_ms / 1e3
-        self.probe_room, self.probed_at = tier.probes_per_s * tier.cores, 0.0
+        self.probe_tokens, self.probe_tokens_at = tier.probes_per_s * tier.cores, 0.0
         self.started_at: float = 0.0
         self.warm_at = -math.inf
-        self._empty()
+        self._reset_state()
 
-    def _empty(self) -> None:
-        self.open = 0  # connections
+    def _reset_state(self) -> None:
+        self.open_connections = 0  # connections
         self.slots_used = self.active = 0  # requests in work, and those of them that want a core
-        self.waiting: deque[Attempt] = deque()
-        self.away: dict[Attempt, None] = {}  # in work, but calling
-        self.queue: list[tuple[float, int, Attempt | None]] = []  # by the progress at which they are done
-        self.entered = 0
-        self.progress = self.scale = 0.0
-        self.mark = self.loop.now
-        self.alarm = math.inf
-        self.pressure: deque[tuple[float, float, bool]] = deque()  # sent while cold: when, work, told
-        self.pressed = 0.0
-        self.crowded_at = math.inf
-        self.crowded_for = 0.0  # s, less those since in which it was not crowded
-        self.choked_at = math.inf  # since when
-        self.busy = 0.0  # seconds of all cores
-        self.rests: deque[float] = deque(maxlen=REST_PARTS + 1)
-        self.report_number = -1
-        self.report_value = self.report_before = 0.0
+        self.wait_queue: deque[Attempt] = deque()
+        self.calling: dict[Attempt, None] = {}  # in work, but calling
+        self.completions: list[
+            tuple[float, int, Attempt | None]
+        ] = []  # by the progress at which they are done
+        self.sequence_number = 0
+        self.progress = self.progress_rate = 0.0
+        self.advanced_at = self.loop.now
+        self.next_completion_at = math.inf
+        self.cold_sends: deque[tuple[float, float, bool]] = deque()  # sent while cold: when, work, told
+        self.cold_work = 0.0
+        self.crowded_since = math.inf
+        self.crowded_time = 0.0  # s, less those since in which it was not crowded
+        self.choked_since = math.inf  # since when
+        self.busy_time = 0.0  # seconds of all cores
+        self.busy_time_samples: deque[float] = deque(maxlen=REST_CHECKS + 1)
+        self.report_period_number = -1
+        self.report_value = self.previous_report_value = 0.0
 
     # -- capacity
-    def share(self, now: float) -> float:
+    def capacity_share(self, now: float) -> float:
         """Of its capacity, that a process has which may still be cold."""
         if now >= self.warm_at:
             return 1.0
         tier = self.tier
         return tier.cold_from + (1 - tier.cold_from) * (now - self.started_at) / tier.cold_s
 
-    def _gained(self, now: float) -> float:
+    def _full_speed_time(self, now: float) -> float:
         """Seconds of full capacity between its start and now."""
         tier, age = self.tier, now - self.started_at
         cold = min(age, tier.cold_s)
         return tier.cold_from * cold + (1 - tier.cold_from) * cold * cold / (2 * tier.cold_s) + age - cold
 
-    def _when(self, gained: float) -> float:
+    def _time_at_full_speed_time(self, full_speed_time: float) -> float:
         """When that many seconds of full capacity have passed since its start."""
         tier = self.tier
-        whole = tier.cold_s * (1 + tier.cold_from) / 2
-        if gained >= whole or tier.cold_from >= 1:
-            return self.started_at + tier.cold_s + gained - whole
-        low, span = tier.cold_from, tier.cold_s / (1 - tier.cold_from)
-        return self.started_at + (math.sqrt(low * low + 2 * gained / span) - low) * span
+        warm_up_gain = tier.cold_s * (1 + tier.cold_from) / 2
+        if full_speed_time >= warm_up_gain or tier.cold_from >= 1:
+            return self.started_at + tier.cold_s + full_speed_time - warm_up_gain
+        initial_share, ramp_time = tier.cold_from, tier.cold_s / (1 - tier.cold_from)
+        return (
+            self.started_at
+            + (math.sqrt(initial_share * initial_share + 2 * full_speed_time / ramp_time) - initial_share)
+            * ramp_time
+        )
 
     def advance(self) -> None:
         """Bring the progress up to now."""
-        now, mark = self.loop.now, self.mark
-        if now <= mark:
+        now, advanced_at = self.loop.now, self.advanced_at
+        if now <= advanced_at:
             return
-        self.mark = now
+        self.advanced_at = now
         if self.tier.choke is not None:
-            crowded = now - mark if self.crowded_at < math.inf else mark - now
-            self.crowded_for = max(0.0, self.crowded_for + crowded)
+            crowded_change = now - advanced_at if self.crowded_since < math.inf else advanced_at - now
+            self.crowded_time = max(0.0, self.crowded_time + crowded_change)
         if self.active:
-            if mark >= self.warm_at:
-                self.progress += (now - mark) * self.scale
+            if advanced_at >= self.warm_at:
+                self.progress += (now - advanced_at) * self.progress_rate
             else:
-                self.progress += (self._gained(now) - self._gained(mark)) * self.scale
+                self.progress += (
+                    self._full_speed_time(now) - self._full_speed_time(advanced_at)
+                ) * self.progress_rate
             if self.tier.choke is not None:
-                self.busy += (now - mark) * min(1.0, self.active / self.cores)
+                self.busy_time += (now - advanced_at) * min(1.0, self.active / self.cores)
 
-    def held(self) -> int:
-        return self.slots_used + len(self.waiting)
+    def held_requests(self) -> int:
+        return self.slots_used + len(self.wait_queue)
 
-    def retune(self) -> None:
+    def update_rate(self) -> None:
         """Set the pace after a change, and the moment at which the next request is done."""
         tier, active = self.tier, self.active
         if not active:
-            if self.crowded_at < math.inf:
-                self._look_for_crowd()
+            if self.crowded_since < math.inf:
+                self._check_crowded()
             return
-        scale = self.speed if active <= self.cores else self.speed * self.cores / active
-        over = self.slots_used + len(self.waiting) - tier.thrash_at * self.cores
-        if over > 0:
-            scale /= 1 + tier.thrash * over / self.cores
+        rate = self.speed if active <= self.cores else self.speed * self.cores / active
+        excess = self.slots_used + len(self.wait_queue) - tier.thrash_at * self.cores
+        if excess > 0:
+            rate /= 1 + tier.thrash * excess / self.cores
         if tier.full_tax:
-            scale *= 1 - tier.full_tax * min(1.0, self.open / tier.connections)
+            rate *= 1 - tier.full_tax * min(1.0, self.open_connections / tier.connections)
         if tier.choke is not None:
-            self._look_for_crowd()
-            if self.choked_at < math.inf:
-                scale /= tier.choke.slower
-        self.scale = 0.0 if self.hung else scale
-        self._set_alarm()
-
-    def _set_alarm(self) -> None:
-        queue = self.queue
-        while queue:
-            attempt = queue[0][2]
-            if attempt is None or (attempt.state is State.RUNNING and attempt.finish == queue[0][0]):
+            self._check_crowded()
+            if self.choked_since < math.inf:
+                rate /= tier.choke.slower
+        self.progress_rate = 0.0 if self.hung else rate
+        self._schedule_completion()
+
+    def _schedule_completion(self) -> None:
+        completions = self.completions
+        while completions:
+            attempt = completions[0][2]
+            if attempt is None or (
+                attempt.state is AttemptState.RUNNING and attempt.finish_progress == completions[0][0]
+            ):
                 break
-            heappop(queue)
-        if not queue or self.scale <= 0:
+            heappop(completions)
+        if not completions or self.progress_rate <= 0:
             return
-        left = max(0.0, queue[0][0] - self.progress) / self.scale
+        remaining = max(0.0, completions[0][0] - self.progress) / self.progress_rate
         now = self.loop.now
-        due = now + left if now >= self.warm_at else self._when(self._gained(now) + left)
-        if due < self.alarm:
-            self.alarm = due
-            self.loop.at(due, self._ring, (due, self.life))
-
-    def _ring(self, which: tuple[float, int]) -> None:
+        due = (
+            now + remaining
+            if now >= self.warm_at
+            else self._time_at_full_speed_time(self._full_speed_time(now) + remaining)
+        )
+        if due < self.next_completion_at:
+            self.next_completion_at = due
+            self.loop.call_at(due, self._on_completion_due, (due, self.incarnation))
+
+    def _on_completion_due(self, argument: tuple[float, int]) -> None:
         """The earliest request may be done; if the pace has fallen since, it is not yet."""
-        if which[1] != self.life or which[0] != self.alarm or not self.up:
+        if argument[1] != self.incarnation or argument[0] != self.next_completion_at or not self.up:
             return
-        self.alarm = math.inf
+        self.next_completion_at = math.inf
         self.advance()
-        queue, ended = self.queue, []
-        while queue and queue[0][0] <= self.progress + DONE:
-            finish, _, attempt = heappop(queue)
+        completions, finished = self.completions, []
+        while completions and completions[0][0] <= self.progress + WORK_EPSILON:
+            finish, _, attempt = heappop(completions)
             if attempt is None:
                 self.active -= 1
-            elif attempt.state is State.RUNNING and attempt.finish == finish:
+            elif attempt.state is AttemptState.RUNNING and attempt.finish_progress == finish:
                 self.active -= 1
-                ended.append(attempt)
-        life = self.life
-        for attempt in ended:
-            if life == self.life:
-                self._part_done(attempt)
-        self.retune()
+                finished.append(attempt)
+        incarnation = self.incarnation
+        for attempt in finished:
+            if incarnation == self.incarnation:
+                self._on_phase_done(attempt)
+        self.update_rate()
 
     # -- requests
     def receive(self, attempt: Attempt) -> None:
         """An attempt comes in over its connection."""
         if self.silent:
             return
-        if attempt.life != self.life or not self.up:
+        if attempt.incarnation != self.incarnation or not self.up:
             self.reply(attempt, Status.RESET)
             return
         request = attempt.call.request
@@ -195,284 +209,312 @@
         if request.cls.attempt_noise:
             work = draw(request.random, "lognormal", work, request.cls.attempt_noise)
         now = self.loop.now
-        if now < self.warm_at and self._pushed_over(attempt, work):
+        if now < self.warm_at and self._overloads_cold_process(attempt, work):
             return
-        full = self.slots_used >= self.tier.slots and len(self.waiting) >= self.tier.room
-        if full or now >= self.closing_at:
+        full = self.slots_used >= self.tier.slots and len(self.wait_queue) >= self.tier.room
+        if full or now >= self.rejects_from:
             self.reply(attempt, Status.FULL)
             return
-        if self.fail_share and self.random.random() < self.fail_share:
-            attempt.state = State.OVER
-            self.loop.at(now + FAST_ERROR, self._fail_fast, attempt)
+        if self.error_share and self.random.random() < self.error_share:
+            attempt.state = AttemptState.FINISHED
+            self.loop.call_at(now + FAST_ERROR_TIME, self._reply_error, attempt)
             return
-        calls = self.next_calls
-        attempt.calls_left = int(calls) + (request.random.random() < calls % 1.0) if calls else 0
-        first = work * FIRST_PART if attempt.calls_left else work
-        attempt.work, attempt.rest_work = first + attempt.overhead, work - first
+        calls = self.calls_to_next_tier
+        attempt.remaining_calls = int(calls) + (request.random.random() < calls % 1.0) if calls else 0
+        work_before_calls = work * WORK_SHARE_BEFORE_CALLS if attempt.remaining_calls else work
+        attempt.work, attempt.work_after_calls = (
+            work_before_calls + attempt.handshake_work,
+            work - work_before_calls,
+        )
         self.advance()
-        self.note()
+        self.update_report()
         if self.slots_used < self.tier.slots:
-            self._start(attempt)
+            self._start_in_slot(attempt)
         else:
-            attempt.state = State.WAITING
-            self.waiting.append(attempt)
-        self.retune()
+            attempt.state = AttemptState.QUEUED
+            self.wait_queue.append(attempt)
+        self.update_rate()
 
-    def _fail_fast(self, attempt: Attempt) -> None:
-        self.reply(attempt, Status.ERROR if attempt.life == self.life and self.up else Status.RESET)
+    def _reply_error(self, attempt: Attempt) -> None:
+        self.reply(
+            attempt, Status.ERROR if attempt.incarnation == self.incarnation and self.up else Status.RESET
+        )
 
-    def _start(self, attempt: Attempt) -> None:
+    def _start_in_slot(self, attempt: Attempt) -> None:
         self.slots_used += 1
-        self._run(attempt)
+        self._start_phase(attempt)
 
-    def _run(self, attempt: Attempt) -> None:
-        attempt.state = State.RUNNING
-        attempt.finish = self.progress + attempt.work
+    def _start_phase(self, attempt: Attempt) -> None:
+        attempt.state = AttemptState.RUNNING
+        attempt.finish_progress = self.progress + attempt.work
         self.active += 1
-        self.entered += 1
-        heappush(self.queue, (attempt.finish, self.entered, attempt))
-
-    def _part_done(self, attempt: Attempt) -> None:
-        attempt.used += attempt.work - attempt.overhead
-        attempt.overhead = 0.0
-        if attempt.calls_left:
-            attempt.state = State.CALLING
-            self.away[attempt] = None
-            self._call_next(attempt)
+        self.sequence_number += 1
+        heappush(self.completions, (attempt.finish_progress, self.sequence_number, attempt))
+
+    def _on_phase_done(self, attempt: Attempt) -> None:
+        attempt.work_spent += attempt.work - attempt.handshake_work
+        attempt.handshake_work = 0.0
+        if attempt.remaining_calls:
+            attempt.state = AttemptState.CALLING
+            self.calling[attempt] = None
+            self._call_next_tier(attempt)
         elif attempt.call.request.random.random() < self.tier.error_rate:
-            self._leave(attempt, Status.ERROR)
+            self._finish_attempt(attempt, Status.ERROR)
         else:
-            self._leave(attempt, Status.OK)
+            self._finish_attempt(attempt, Status.OK)
 
-    def _call_next(self, attempt: Attempt) -> None:
+    def _call_next_tier(self, attempt: Attempt) -> None:
         request, instance = attempt.call.request, self.instance
         budget = request.cls.deadline_ms / 1e3
         if self.world.day.passes_deadline:
             budget = attempt.deadline - self.loop.now
         if instance is None or not instance.alive or budget <= 0:
-            self._leave(attempt, Status.ERROR)
+            self._finish_attempt(attempt, Status.ERROR)
             return
         work = self.world.clients.draw_work(request.cls, self.depth + 1, request.random)
         call = Call(self.world.next_call(), request, self, budget, work)
-        call.origin, attempt.inner = attempt, call
-        instance.take(call)
+        call.calling_attempt, attempt.inner_call = attempt, call
+        instance.accept(call)
 
-    def answered(self, call: Call, end: End, retry_after: float, attempt: Attempt | None) -> None:
+    def on_call_ended(
+        self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
+    ) -> None:
         """A call to the next tier has ended."""
-        caller = call.origin
-        if caller is None or caller.state is not State.CALLING or caller.inner is not call:
+        calling_attempt = call.calling_attempt
+        if (
+            calling_attempt is None
+            or calling_attempt.state is not AttemptState.CALLING
+            or calling_attempt.inner_call is not call
+        ):
             return
-        caller.inner = None
+        calling_attempt.inner_call = None
         self.advance()
-        if end is not End.SERVED or attempt is None:
-            self._leave(caller, Status.ERROR)
+        if result is not CallResult.SERVED or attempt is None:
+            self._finish_attempt(calling_attempt, Status.ERROR)
         else:
-            caller.kids.append(attempt)
-            caller.calls_left -= 1
-            if caller.calls_left:
-                self._call_next(caller)
+            calling_attempt.inner_attempts.append(attempt)
+            calling_attempt.remaining_calls -= 1
+            if calling_attempt.remaining_calls:
+                self._call_next_tier(calling_attempt)
             else:
-                del self.away[caller]
-                caller.work = caller.rest_work
-                self._run(caller)
-        self.retune()
+                del self.calling[calling_attempt]
+                calling_attempt.work = calling_attempt.work_after_calls
+                self._start_phase(calling_attempt)
+        self.update_rate()
 
-    def _leave(self, attempt: Attempt, status: Status) -> None:
+    def _finish_attempt(self, attempt: Attempt, status: Status) -> None:
         """Free the slot, and let the next one in."""
-        self.note()
-        self.away.pop(attempt, None)
-        self._close(attempt)
+        self.update_report()
+        self.calling.pop(attempt, None)
+        self._mark_finished(attempt)
         self.slots_used -= 1
         self.reply(attempt, status)
-        self._admit()
+        self._start_queued()
 
-    def _close(self, attempt: Attempt) -> None:
-        attempt.state = State.OVER
-        self.count.work_done += attempt.used
+    def _mark_finished(self, attempt: Attempt) -> None:
+        attempt.state = AttemptState.FINISHED
+        self.tier_counts.work_done += attempt.work_spent
 
-    def _admit(self) -> None:
+    def _start_queued(self) -> None:
         now = self.loop.now
-        while self.waiting and self.slots_used < self.tier.slots:
-            attempt = self.waiting.popleft()
+        while self.wait_queue and self.slots_used < self.tier.slots:
+            attempt = self.wait_queue.popleft()
             if self.tier.drops_expired and now > attempt.deadline:
-                self._close(attempt)
+                self._mark_finished(attempt)
             else:
-                self._start(attempt)
+                self._start_in_slot(attempt)
 
     def reply(self, attempt: Attempt, status: Status) -> None:
-        attempt.reply = status
+        attempt.reply_status = status
         if attempt.status < 0:
             delay = self.world.delay(self.zone, attempt.instance.zone)
-            self.loop.at(self.loop.now + delay, attempt.instance.replied, attempt)
+            self.loop.call_at(self.loop.now + delay, attempt.instance.on_reply, attempt)
 
     def abandon(self, attempt: Attempt) -> None:
         """Nobody waits for it any more: what ends of it depends on the tier."""
         cancel = self.tier.cancel
-        if attempt.life != self.life or cancel == "none" or attempt.state in (State.AWAY, State.OVER):
+        if (
+            attempt.incarnation != self.incarnation
+            or cancel == "none"
+            or attempt.state in (AttemptState.IN_TRANSIT, AttemptState.FINISHED)
+        ):
             return
-        if attempt.state is State.WAITING:
+        if attempt.state is AttemptState.QUEUED:
             self.advance()
-            self.note()
-            self.waiting.remove(attempt)
-            self._close(attempt)
-            self.retune()
+            self.update_report()
+            self.wait_queue.remove(attempt)
+            self._mark_finished(attempt)
+            self.update_rate()
         elif cancel == "running":
             self.advance()
-            self.note()
-            if attempt.state is State.RUNNING:
-                left = max(0.0, attempt.finish - self.progress)
-                attempt.used += max(0.0, attempt.work - attempt.overhead - left)
+            self.update_report()
+            if attempt.state is AttemptState.RUNNING:
+                remaining = max(0.0, attempt.finish_progress - self.progress)
+                attempt.work_spent += max(0.0, attempt.work - attempt.handshake_work - remaining)
                 self.active -= 1
-            inner, attempt.inner = attempt.inner, None
-            self.away.pop(attempt, None)
-            self._close(attempt)
+            inner_call, attempt.inner_call = attempt.inner_call, None
+            self.calling.pop(attempt, None)
+            self._mark_finished(attempt)
             self.slots_used -= 1
-            self._admit()
-            self.retune()
-            if inner is not None and inner.instance is not None:
-                inner.instance.leave(inner)
+            self._start_queued()
+            self.update_rate()
+            if inner_call is not None and inner_call.instance is not None:
+                inner_call.instance.caller_left(inner_call)
 
     # -- cold starts, chokes and ends
-    def _pushed_over(self, attempt: Attempt, work: float) -> bool:
+    def _overloads_cold_process(self, attempt: Attempt, work: float) -> bool:
         """Count the work sent to a cold process; too much of it within the stated time and it falls.
 
         Slack for chance: the newest, and what one request has beyond all that the process can do meanwhile.
         """
         rules, now = self.world.day.rules, self.loop.now
-        pressure = self.pressure
-        while pressure and pressure[0][0] < now - rules.fall_s:
-            self.pressed -= pressure.popleft()[1]
-        able = self.speed * self.cores * self.share(now) * rules.fall_s
-        if self.pressed > rules.fall_multiple * able:
-            told = sum(part for _, part, knew in pressure if knew)
-            self.tally.saw(now, f"server {self.id} of {self.tier.name} fell over while cold")
-            if told >= self.pressed * 2 / 3:
-                self.tally.breaks["cold_fall"] += 1
+        cold_sends = self.cold_sends
+        while cold_sends and cold_sends[0][0] < now - rules.fall_s:
+            self.cold_work -= cold_sends.popleft()[1]
+        doable_work = self.speed * self.cores * self.capacity_share(now) * rules.fall_s
+        if self.cold_work > rules.fall_multiple * doable_work:
+            notified_work = sum(work_part for _, work_part, sender_notified in cold_sends if sender_notified)
+            self.tally.record_event(now, f"server {self.id} of {self.tier.name} fell over while cold")
+            if notified_work >= self.cold_work * 2 / 3:
+                self.tally.violations["cold_fall"] += 1
             self.reply(attempt, Status.RESET)
             self.stop()
-            self.world.registries[self.depth].lost(self, silent=True)
+            self.world.registries[self.depth].on_lost(self, silent=True)
             return True
-        sent = min(work, able)
-        pressure.append((now, sent, attempt.instance.knows_start(self)))
-        self.pressed += sent
+        counted_work = min(work, doable_work)
+        cold_sends.append((now, counted_work, attempt.instance.knows_start(self)))
+        self.cold_work += counted_work
         return False
 
-    def _look_for_crowd(self) -> None:
+    def _check_crowded(self) -> None:
         choke = self.tier.choke
-        if choke is None or self.choked_at < math.inf:
+        if choke is None or self.choked_since < math.inf:
             return
-        if self.active + len(self.waiting) < choke.at * self.cores:
-            self.crowded_at = math.inf
-        elif self.crowded_at == math.inf:
-            self.crowded_at = self.loop.now
-            due = self.loop.now + choke.over_s - self.crowded_for
-            self.loop.at(due, self._choke, (self.loop.now, self.life))
-
-    def _choke(self, which: tuple[float, int]) -> None:
+        if self.active + len(self.wait_queue) < choke.at * self.cores:
+            self.crowded_since = math.inf
+        elif self.crowded_since == math.inf:
+            self.crowded_since = self.loop.now
+            due = self.loop.now + choke.over_s - self.crowded_time
+            self.loop.call_at(due, self._start_choke, (self.loop.now, self.incarnation))
+
+    def _start_choke(self, argument: tuple[float, int]) -> None:
         choke = self.tier.choke
-        if choke is None or which != (self.crowded_at, self.life):
+        if choke is None or argument != (self.crowded_since, self.incarnation):
             return
         self.advance()
-        self.crowded_at, self.choked_at, self.crowded_for = math.inf, self.loop.now, 0.0
-        self.count.chokes += 1
-        self.rests.clear()
-        self.rests.append(self.busy)
-        self.loop.at(self.loop.now + choke.rest_s / REST_PARTS, self._look_for_rest, self.life)
-        self.retune()
-
-    def _look_for_rest(self, life: int) -> None:
+        self.crowded_since, self.choked_since, self.crowded_time = math.inf, self.loop.now, 0.0
+        self.tier_counts.chokes += 1
+        self.busy_time_samples.clear()
+        self.busy_time_samples.append(self.busy_time)
+        self.loop.call_at(self.loop.now + choke.rest_s / REST_CHECKS, self._check_rested, self.incarnation)
+        self.update_rate()
+
+    def _check_rested(self, incarnation: int) -> None:
         choke = self.tier.choke
-        if choke is None or life != self.life:
+        if choke is None or incarnation != self.incarnation:
             return
         self.advance()
-        rests = self.rests
-        rests.append(self.busy)
-        rested = len(rests) > REST_PARTS and (rests[-1] - rests[0]) / choke.rest_s < choke.below
-        if rested or self.loop.now - self.choked_at >= choke.most_s:
-            self.choked_at = math.inf
-            self.retune()
+        busy_time_samples = self.busy_time_samples
+        busy_time_samples.append(self.busy_time)
+        rested = (
+            len(busy_time_samples) > REST_CHECKS
+            and (busy_time_samples[-1] - busy_time_samples[0]) / choke.rest_s < choke.below
+        )
+        if rested or self.loop.now - self.choked_since >= choke.most_s:
+            self.choked_since = math.inf
+            self.update_rate()
         else:
-            self.loop.at(self.loop.now + choke.rest_s / REST_PARTS, self._look_for_rest, life)
+            self.loop.call_at(self.loop.now + choke.rest_s / REST_CHECKS, self._check_rested, incarnation)
 
     def stop(self, silent: bool = False) -> None:
         """The process ends: what it held is reset, or never answered where it went silent."""
         self.advance()
-        held = [one for _, _, one in self.queue if one is not None and one.state is State.RUNNING]
-        held += self.away
-        held += self.waiting
+        held_attempts = [
+            one for _, _, one in self.completions if one is not None and one.state is AttemptState.RUNNING
+        ]
+        held_attempts += self.calling
+        held_attempts += self.wait_queue
         self.up, self.silent, self.draining, self.hung = False, silent, False, False
-        self.closing_at = math.inf
-        self.life += 1
-        for attempt in held:
-            if attempt.state is State.RUNNING:
-                left = max(0.0, attempt.finish - self.progress)
-                attempt.used += max(0.0, attempt.work - attempt.overhead - left)
-            attempt.inner = None
-            self._close(attempt)
+        self.rejects_from = math.inf
+        self.incarnation += 1
+        for attempt in held_attempts:
+            if attempt.state is AttemptState.RUNNING:
+                remaining = max(0.0, attempt.finish_progress - self.progress)
+                attempt.work_spent += max(0.0, attempt.work - attempt.handshake_work - remaining)
+            attempt.inner_call = None
+            self._mark_finished(attempt)
             if not silent:
                 self.reply(attempt, Status.RESET)
-        self._empty()
+        self._reset_state()
         if self.instance is not None:
-            self.instance.kill(silent)
+            self.instance.terminate(silent)
 
     def start(self) -> None:
         """A new, cold process."""
         now = self.loop.now
-        self.life += 1
+        self.incarnation += 1
         self.up, self.silent, self.draining, self.hung = True, False, False, False
         self.started_at, self.warm_at = now, now + self.tier.cold_s
-        self._empty()
+        self._reset_state()
         if self.instance is not None:
             self.instance.start()
 
-    def drain(self, span: float) -> None:
+    def drain(self, ramp_time: float) -> None:
         """It ends in so many seconds. What comes in the first half of them is still taken."""
         self.draining = True
-        self.closing_at = self.loop.now + TAKING * span
+        self.rejects_from = self.loop.now + DRAIN_ACCEPT_SHARE * ramp_time
 
     def hang(self, on: bool) -> None:
         self.advance()
         self.hung = on
-        self.retune()
+        self.update_rate()
 
     # -- probes and reports
-    def probed(self) -> tuple[Status, dict[str, float] | None]:
+    def answer_probe(self) -> tuple[Status, dict[str, float] | None]:
         """A shallow probe: answered beside the queue, at the price of a little work."""
         now, tier = self.loop.now, self.tier
-        most = tier.probes_per_s * self.cores
-        self.probe_room = min(most, self.probe_room + (now - self.probed_at) * most)
-        self.probed_at = now
-        if self.probe_room < 1:
+        max_rate = tier.probes_per_s * self.cores
+        self.probe_tokens = min(max_rate, self.probe_tokens + (now - self.probe_tokens_at) * max_rate)
+        self.probe_tokens_at = now
+        if self.probe_tokens < 1:
             return Status.FULL, None
-        self.probe_room -= 1
-        report = {"busy_reqs": self._reported(now)}
+        self.probe_tokens -= 1
+        report = {"busy_reqs": self._reported_load(now)}
         if tier.probe_us > 0:
             self.advance()
             self.active += 1
-            self.entered += 1
-            heappush(self.queue, (self.progress + tier.probe_us / 1e6, self.entered, None))
-            self.retune()
+            self.sequence_number += 1
+            heappush(self.completions, (self.progress + tier.probe_us / 1e6, self.sequence_number, None))
+            self.update_rate()
         return Status.OK, report
 
-    def note(self) -> None:
+    def update_report(self) -> None:
         """Before the number of held requests changes: keep what the reports since the last change said."""
-        number = int((self.loop.now - self.report_phase) * 1e3 / self.tier.report_period_ms)
-        if number != self.report_number:
-            held = float(self.held())
-            self.report_before = self.report_value if number == self.report_number + 1 else held
-            self.report_value, self.report_number = held, number
-
-    def _reported(self, now: float) -> float:
+        period_number = int((self.loop.now - self.report_phase) * 1e3 / self.tier.report_period_ms)
+        if period_number != self.report_period_number:
+            held_attempts = float(self.held_requests())
+            self.previous_report_value = (
+                self.report_value if period_number == self.report_period_number + 1 else held_attempts
+            )
+            self.report_value, self.report_period_number = held_attempts, period_number
+
+    def _reported_load(self, now: float) -> float:
         """Requests held when the report was last refreshed, as told by now, with noise."""
         tier = self.tier
-        number = int((now - tier.report_delay_ms / 1e3 - self.report_phase) * 1e3 / tier.report_period_ms)
-        if number > self.report_number:
-            value = float(self.held())
+        period_number = int(
+            (now - tier.report_delay_ms / 1e3 - self.report_phase) * 1e3 / tier.report_period_ms
+        )
+        if period_number > self.report_period_number:
+            value = float(self.held_requests())
         else:
-            value = self.report_value if number == self.report_number else self.report_before
+            value = (
+                self.report_value
+                if period_number == self.report_period_number
+                else self.previous_report_value
+            )
         return max(0.0, value * (1 + tier.report_noise * self.random.gauss(0.0, 1.0)))
 
-    def entry(self, state: ServerState) -> ServerEntry:
+    def list_entry(self, state: ServerState) -> ServerEntry:
         return ServerEntry(
             self.id, self.zone, self.tier.name, self.cell, state, 1.0,
             self.started_at if self.warm_at > 0 else 0.0,
--- a/granitepoint/emulator/tally.py
+++ b/granitepoint/emulator/tally.py
@@ -13,19 +13,19 @@
 from granitepoint.fleet.measure import Histogram
 from granitepoint.fleet.results import Record, Writer
 
-ENDS = ("in_time", "late", "refused", "failed", "timed_out", "left")
-WINDOW = 5.0  # s
-WINDOW_TITLES = (
+OUTCOMES = ("in_time", "late", "refused", "failed", "timed_out", "left")
+WINDOW_LENGTH = 5.0  # s
+WINDOW_HEADER = (
     "  from offered in-time%  late% refused%  fail%  t/o%  left%    p50 ms    p99 ms tries/r  att/r worth%"
 )
-DEPTH_TITLES = (
+DEPTH_HEADER = (
     "  depth tier               calls  served refused  failed attempts  full errors   t/o  conn reset"
     "   work done  served%"
 )
 
 
-def _no_ends() -> dict[str, int]:
-    return dict.fromkeys(ENDS, 0)
+def _zero_outcomes() -> dict[str, int]:
+    return dict.fromkeys(OUTCOMES, 0)
 
 
 class Depth(Record, kw_only=True, tag="depth"):
@@ -55,7 +55,7 @@
 
     from_s: float
     offered: int = 0
-    ends: dict[str, int] = msgspec.field(default_factory=_no_ends)
+    ends: dict[str, int] = msgspec.field(default_factory=_zero_outcomes)
     tries: int = 0
     attempts: int = 0  # over all tiers
     worth_offered: float = 0.0
@@ -83,7 +83,7 @@
     kind: str
     name: str
     offered: int = 0
-    ends: dict[str, int] = msgspec.field(default_factory=_no_ends)
+    ends: dict[str, int] = msgspec.field(default_factory=_zero_outcomes)
     worth_offered: float = 0.0
     worth_served: float = 0.0
     latency: dict[str, float] = msgspec.field(default_factory=dict)
@@ -123,7 +123,7 @@
     breaks: dict[str, int]
 
 
-class EmulatorFault(Exception):
+class EmulatorError(Exception):
     """The world contradicts itself: a fault in the emulator."""
 
 
@@ -136,74 +136,76 @@
         self.windows: list[Window] = []
         self.classes = {cls.name: Group(kind="class", name=cls.name) for cls in day.classes}
         self.tenants = {t.name: Group(kind="tenant", name=t.name) for t in day.tenants}
-        self.breaks = {"unanswered": 0, "repeat": 0, "drain": 0, "cold_fall": 0, "out_of_place": 0}
-        self.seen: list[Seen] = []
+        self.violations = {"unanswered": 0, "repeat": 0, "drain": 0, "cold_fall": 0, "out_of_place": 0}
+        self.seen_events: list[Seen] = []
         self.samples: list[Sample] = []
-        self.requests = self.open = self.steps = 0
+        self.requests = self.open_requests = self.steps = 0
         self.work_offered = 0.0
         self._latency: dict[int | str, Histogram] = {}
-        visits, self.work_share = 1.0, 0.0  # work of a request over all tiers, of its class's
+        visits, self.mean_work_factor = 1.0, 0.0  # work of a request over all tiers, of its class's
         for tier in tiers:
             visits *= tier.calls
-            self.work_share += visits * tier.work
+            self.mean_work_factor += visits * tier.work
 
-    def window(self, now: float) -> Window:
-        while len(self.windows) <= now / WINDOW:
-            self.windows.append(Window(from_s=len(self.windows) * WINDOW))
-        return self.windows[int(now / WINDOW)]
+    def window_at(self, now: float) -> Window:
+        while len(self.windows) <= now / WINDOW_LENGTH:
+            self.windows.append(Window(from_s=len(self.windows) * WINDOW_LENGTH))
+        return self.windows[int(now / WINDOW_LENGTH)]
 
-    def groups(self, request: Request) -> list[Window | Group]:
-        found: list[Window | Group] = [request.window, self.classes[request.cls.name]]
+    def groups_of(self, request: Request) -> list[Window | Group]:
+        groups: list[Window | Group] = [request.window, self.classes[request.cls.name]]
         if request.tenant:
-            found.append(self.tenants[request.tenant])
-        return found
+            groups.append(self.tenants[request.tenant])
+        return groups
 
-    def begin(self, request: Request) -> None:
+    def request_started(self, request: Request) -> None:
         self.requests += 1
-        self.open += 1
-        self.work_offered += request.cls.work_ms / 1e3 * self.work_share
+        self.open_requests += 1
+        self.work_offered += request.cls.work_ms / 1e3 * self.mean_work_factor
         by_class = request.window.offered_by
         by_class[request.cls.name] = by_class.get(request.cls.name, 0) + 1
-        for group in self.groups(request):
+        for group in self.groups_of(request):
             group.offered += 1
-            group.worth_offered += request.worth
+            group.worth_offered += request.utility
 
-    def end(self, request: Request, how: str, elapsed: float, attempt: Attempt | None = None) -> None:
+    def request_ended(
+        self, request: Request, outcome: str, elapsed: float, attempt: Attempt | None = None
+    ) -> None:
         """The one end of a request. `elapsed` in seconds since its first try. Raises EmulatorFault."""
         if request.ended:
-            raise EmulatorFault(f"request {request.number} ended twice")
+            raise EmulatorError(f"request {request.number} ended twice")
         request.ended = True
-        self.open -= 1
-        if how == "in_time":
+        self.open_requests -= 1
+        if outcome == "in_time":
             by_class = request.window.in_time_by
             by_class[request.cls.name] = by_class.get(request.cls.name, 0) + 1
-        worth = {"in_time": 1.0, "late": request.cls.late_worth}.get(how, 0.0) * request.worth
-        for group in self.groups(request):
-            group.ends[how] += 1
-            group.worth_served += worth
-        if how in ("in_time", "late"):
-            for key in (request.cls.name, int(request.born / WINDOW)):
+        utility = {"in_time": 1.0, "late": request.cls.late_worth}.get(outcome, 0.0) * request.utility
+        for group in self.groups_of(request):
+            group.ends[outcome] += 1
+            group.worth_served += utility
+        if outcome in ("in_time", "late"):
+            for key in (request.cls.name, int(request.created_at / WINDOW_LENGTH)):
                 if key not in self._latency:
                     self._latency[key] = Histogram()
                 self._latency[key].add(elapsed)
         if attempt is not None:
-            self.count_served(attempt)
+            self.add_served_work(attempt)
 
-    def count_served(self, attempt: Attempt) -> None:
-        waiting = [attempt]
-        while waiting:
-            one = waiting.pop()
-            self.depths[one.server.depth].work_served += one.used
-            waiting += one.kids
+    def add_served_work(self, attempt: Attempt) -> None:
+        pending = [attempt]
+        while pending:
+            one = pending.pop()
+            self.depths[one.server.depth].work_served += one.work_spent
+            pending += one.inner_attempts
 
-    def saw(self, at: float, what: str) -> None:
-        self.seen.append(Seen(at_s=round(at, 6), what=what))
+    def record_event(self, at: float, what: str) -> None:
+        self.seen_events.append(Seen(at_s=round(at, 6), what=what))
 
     def total(self) -> Total:
-        ends = dict.fromkeys(ENDS, 0)
+        ends = dict.fromkeys(OUTCOMES, 0)
         for window in self.windows:
-            for how, count in window.ends.items():
-                ends[how] += count
+            for outcome, count in window.ends.items():
+                ends[outcome] += count
         done = sum(depth.work_done for depth in self.depths)
         served = sum(depth.work_served for depth in self.depths)
         count = max(1, self.requests)
@@ -212,8 +214,10 @@
             requests=self.requests,
             ends=ends,
             in_time_share=ends["in_time"] / count,
-            worth_served=_served(self.windows),
-            worst_10_s=min([_served(pair) for pair in pairs], default=_served(self.windows)),
+            worth_served=_worth_served_share(self.windows),
+            worst_10_s=min(
+                [_worth_served_share(pair) for pair in pairs], default=_worth_served_share(self.windows)
+            ),
             tries_per_request=sum(w.tries for w in self.windows) / count,
             attempts_per_request=sum(w.attempts for w in self.windows) / count,
             calls=sum(depth.calls for depth in self.depths),
@@ -222,13 +226,13 @@
             wasted=max(0.0, done - served) / max(self.work_offered, 1e-9),
             chokes=sum(depth.chokes for depth in self.depths),
             steps=self.steps,
-            breaks=self.breaks,
+            breaks=self.violations,
         )
 
     def records(self, begin: Begin) -> list[Record]:
         """All records of the run, in the order in which they are written."""
         for window in self.windows:
-            key = int(window.from_s / WINDOW)
+            key = int(window.from_s / WINDOW_LENGTH)
             if key in self._latency:
                 window.latency = self._latency[key].summary()
         for group in self.classes.values():
@@ -236,10 +240,10 @@
                 group.latency = self._latency[group.name].summary()
         windows = [window for window in self.windows if window.offered]
         groups = [*self.classes.values(), *self.tenants.values()]
-        return [begin, *self.seen, *self.samples, *windows, *groups, *self.depths, self.total()]
+        return [begin, *self.seen_events, *self.samples, *windows, *groups, *self.depths, self.total()]
 
 
-def _served(groups: Iterable[Window | Group]) -> float:
+def _worth_served_share(groups: Iterable[Window | Group]) -> float:
     held = list(groups)
     offered = sum(group.worth_offered for group in held)
     return sum(group.worth_served for group in held) / offered if offered else 0.0
@@ -266,14 +270,14 @@
             )
         elif isinstance(record, Seen):
             lines.append(f"{record.at_s:9.2f} s  {record.what}")
-    lines.append(WINDOW_TITLES)
+    lines.append(WINDOW_HEADER)
     for record in records:
         if isinstance(record, Window):
             lines.append(_window_line(record))
     for record in records:
         if isinstance(record, Group):
             lines.append(_group_line(record))
-    lines.append(DEPTH_TITLES)
+    lines.append(DEPTH_HEADER)
     for record in records:
         if isinstance(record, Depth):
             lines.append(_depth_line(record))
@@ -292,35 +296,35 @@
 
 
 def _group_line(group: Group) -> str:
-    line = f"{group.kind} {group.name:24} {group.offered:8} worth served {_served([group]):.4f}"
-    figures = group.latency
-    if not figures:
+    line = f"{group.kind} {group.name:24} {group.offered:8} worth served {_worth_served_share([group]):.4f}"
+    latency = group.latency
+    if not latency:
         return line
-    shown = "  ".join(f"{name} {figures[f'{name}_ms']:.1f}" for name in ("p50", "p99", "p99.9"))
-    return f"{line}  {shown} ms"
+    percentiles = "  ".join(f"{name} {latency[f'{name}_ms']:.1f}" for name in ("p50", "p99", "p99.9"))
+    return f"{line}  {percentiles} ms"
 
 
 def _window_line(window: Window) -> str:
     count = max(1, window.offered)
     ends = window.ends
-    shares = [100 * ends[how] / count for how in ENDS]
+    shares = [100 * ends[outcome] / count for outcome in OUTCOMES]
     latency = window.latency or {"p50_ms": 0.0, "p99_ms": 0.0}
-    worth = 100 * _served([window])
+    utility = 100 * _worth_served_share([window])
     return (
         f"{window.from_s:6.0f} {window.offered:7} {shares[0]:8.1f} {shares[1]:6.1f} {shares[2]:8.1f} "
         f"{shares[3]:6.1f} {shares[4]:5.1f} {shares[5]:6.1f} {latency['p50_ms']:9.1f} "
-        f"{latency['p99_ms']:9.1f} {window.tries / count:7.2f} {window.attempts / count:6.2f} {worth:6.1f}"
+        f"{latency['p99_ms']:9.1f} {window.tries / count:7.2f} {window.attempts / count:6.2f} {utility:6.1f}"
     )
 
 
 def _total_lines(total: Total) -> list[str]:
-    broken = ", ".join(f"{name} {count}" for name, count in total.breaks.items() if count)
-    ends = ", ".join(f"{how} {count}" for how, count in total.ends.items())
+    violations = ", ".join(f"{name} {count}" for name, count in total.breaks.items() if count)
+    ends = ", ".join(f"{outcome} {count}" for outcome, count in total.ends.items())
     return [
         f"requests {total.requests}: {ends}",
         f"in time {total.in_time_share:.4f}, worth served {total.worth_served:.4f} (worst 10 s "
         f"{total.worst_10_s:.4f}), refused {total.ends['refused'] / max(1, total.requests):.4f}",
         f"tries/request {total.tries_per_request:.3f}, attempts/request {total.attempts_per_request:.3f}, "
         f"wasted work {total.wasted:.4f} of what was offered, chokes {total.chokes}",
-        f"rules broken: {broken or 'none'}",
+        f"rules broken: {violations or 'none'}",
     ]
--- a/granitepoint/emulator/troubles.py
+++ b/granitepoint/emulator/troubles.py
@@ -12,117 +12,121 @@
 if TYPE_CHECKING:
     from granitepoint.emulator.world import World
 
-Going = days.Roll | days.Shrink
-Passing = days.FastErrors | days.Hang | days.HeavyTail | days.StaleDiscovery | days.Burst
+DrainingFault = days.Roll | days.Shrink
+TemporaryFault = days.FastErrors | days.Hang | days.HeavyTail | days.StaleDiscovery | days.Burst
 
 
-class Troubles:
+class FaultInjector:
     def __init__(self, world: World, random: Random) -> None:
         self.world, self.loop, self.random = world, world.loop, random
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Plan them all."""
-        for trouble in self.world.day.troubles:
-            self.loop.at(trouble.at_s, self._begin, trouble)
-
-    def _begin(self, trouble: days.Trouble) -> None:
-        self._say(f"{trouble.__struct_config__.tag} begins")
-        if isinstance(trouble, Going):
-            self._plan(trouble)
-        elif isinstance(trouble, days.ZoneLoss):
-            self._lose_zone(trouble)
+        for fault in self.world.day.troubles:
+            self.loop.call_at(fault.at_s, self._start_fault, fault)
+
+    def _start_fault(self, fault: days.Fault) -> None:
+        self._record_event(f"{fault.__struct_config__.tag} begins")
+        if isinstance(fault, DrainingFault):
+            self._schedule_drains(fault)
+        elif isinstance(fault, days.ZoneLoss):
+            self._start_zone_loss(fault)
         else:
-            struck: list[Server] = []
-            if isinstance(trouble, days.FastErrors | days.Hang):
-                struck = self._some(trouble.tier, trouble.servers)
-            lives = [(server, server.life) for server in struck]
-            self._set(trouble, struck, on=True)
-            self.loop.at(self.loop.now + trouble.for_s, self._undo, (trouble, lives))
-
-    def _undo(self, about: tuple[Passing, list[tuple[Server, int]]]) -> None:
-        trouble, lives = about
-        self._set(trouble, [server for server, life in lives if server.life == life], on=False)
-        self._say(f"{trouble.__struct_config__.tag} ends")
-
-    def _say(self, what: str) -> None:
-        self.world.tally.saw(self.loop.now, what)
-
-    def _some(self, tier: int, count: int) -> list[Server]:
-        running = [server for server in self.world.by_tier[tier] if server.up and not server.draining]
+            affected: list[Server] = []
+            if isinstance(fault, days.FastErrors | days.Hang):
+                affected = self._choose_servers(fault.tier, fault.servers)
+            incarnations = [(server, server.incarnation) for server in affected]
+            self._apply(fault, affected, on=True)
+            self.loop.call_at(self.loop.now + fault.for_s, self._end_fault, (fault, incarnations))
+
+    def _end_fault(self, argument: tuple[TemporaryFault, list[tuple[Server, int]]]) -> None:
+        fault, incarnations = argument
+        self._apply(
+            fault,
+            [server for server, incarnation in incarnations if server.incarnation == incarnation],
+            on=False,
+        )
+        self._record_event(f"{fault.__struct_config__.tag} ends")
+
+    def _record_event(self, what: str) -> None:
+        self.world.tally.record_event(self.loop.now, what)
+
+    def _choose_servers(self, tier: int, count: int) -> list[Server]:
+        running = [server for server in self.world.servers_by_tier[tier] if server.up and not server.draining]
         return self.random.sample(running, min(count, len(running)))
 
     # -- servers that go, and that come for them
-    def _plan(self, trouble: Going) -> None:
-        size = self.world.tiers[trouble.tier].servers
-        batch = max(1, round(trouble.batch * size)) if isinstance(trouble, days.Roll) else 1
-        chosen = self._some(trouble.tier, max(1, round(trouble.part * size)))
-        places = range(0, len(chosen), batch)
-        for place in places:
-            due = self.loop.now + trouble.for_s * place / batch / len(places)
-            surges = isinstance(trouble, days.Roll) and trouble.surge
-            step = self._start_for if surges else self._drain
-            self.loop.at(due, step, (trouble, chosen[place : place + batch]))
-
-    def _start_for(self, about: tuple[Going, list[Server]]) -> None:
-        for server in about[1]:
+    def _schedule_drains(self, fault: DrainingFault) -> None:
+        server_count = self.world.tiers[fault.tier].servers
+        batch = max(1, round(fault.batch * server_count)) if isinstance(fault, days.Roll) else 1
+        chosen = self._choose_servers(fault.tier, max(1, round(fault.part * server_count)))
+        offsets = range(0, len(chosen), batch)
+        for offset in offsets:
+            due = self.loop.now + fault.for_s * offset / batch / len(offsets)
+            is_surge = isinstance(fault, days.Roll) and fault.surge
+            step = self._start_replacements if is_surge else self._drain
+            self.loop.call_at(due, step, (fault, chosen[offset : offset + batch]))
+
+    def _start_replacements(self, argument: tuple[DrainingFault, list[Server]]) -> None:
+        for server in argument[1]:
             if server.up and not server.draining:
                 self.world.add_server(server.depth, server.zone, server.cell, server.speed)
-        sizes = self.world.day.discovery
-        self.loop.at(self.loop.now + sizes.add_s + sizes.period_s, self._drain, about)
+        discovery = self.world.day.discovery
+        self.loop.call_at(self.loop.now + discovery.add_s + discovery.period_s, self._drain, argument)
 
-    def _drain(self, about: tuple[Going, list[Server]]) -> None:
-        trouble, servers = about
+    def _drain(self, argument: tuple[DrainingFault, list[Server]]) -> None:
+        fault, servers = argument
         for server in servers:
             if server.up and not server.draining:
-                server.drain(trouble.drain_s)
-                self.world.registries[server.depth].drains(server)
-                self.loop.at(self.loop.now + trouble.drain_s, self._end, (trouble, server))
+                server.drain(fault.drain_s)
+                self.world.registries[server.depth].on_draining(server)
+                self.loop.call_at(self.loop.now + fault.drain_s, self._end_drain, (fault, server))
 
-    def _end(self, about: tuple[Going, Server]) -> None:
-        trouble, server = about
+    def _end_drain(self, argument: tuple[DrainingFault, Server]) -> None:
+        fault, server = argument
         if not server.draining:
             return  # a further trouble ended it
         self.world.stop(server, silent=False)
-        if isinstance(trouble, days.Roll) and not trouble.surge:
+        if isinstance(fault, days.Roll) and not fault.surge:
             self.world.add_server(server.depth, server.zone, server.cell, server.speed)
 
-    def _lose_zone(self, trouble: days.ZoneLoss) -> None:
+    def _start_zone_loss(self, fault: days.ZoneLoss) -> None:
         world = self.world
-        servers = [server for server in world.servers.values() if server.zone == trouble.zone and server.up]
-        proxies = [proxy for proxy in world.proxies if proxy.zone == trouble.zone and proxy.alive]
+        servers = [server for server in world.servers.values() if server.zone == fault.zone and server.up]
+        proxies = [proxy for proxy in world.proxies if proxy.zone == fault.zone and proxy.alive]
         for server in servers:
             world.stop(server, silent=True)
         for proxy in proxies:
-            proxy.kill(silent=True)
-            world.front.lost(proxy)
-        self._say(f"{len(servers)} servers and {len(proxies)} proxies are silent")
-        self.loop.at(self.loop.now + trouble.for_s, self._regain_zone, (servers, proxies))
+            proxy.terminate(silent=True)
+            world.front.on_proxy_lost(proxy)
+        self._record_event(f"{len(servers)} servers and {len(proxies)} proxies are silent")
+        self.loop.call_at(self.loop.now + fault.for_s, self._end_zone_loss, (servers, proxies))
 
-    def _regain_zone(self, about: tuple[list[Server], list[Instance]]) -> None:
-        servers, proxies = about
+    def _end_zone_loss(self, argument: tuple[list[Server], list[Instance]]) -> None:
+        servers, proxies = argument
         for server in servers:
             self.world.start(server)
         for proxy in proxies:
             proxy.start()
-            self.world.front.back(proxy)
-        self._say("the zone is back, its servers cold")
+            self.world.front.on_proxy_back(proxy)
+        self._record_event("the zone is back, its servers cold")
 
     # -- what is done and undone
-    def _set(self, trouble: Passing, struck: list[Server], on: bool) -> None:
+    def _apply(self, fault: TemporaryFault, affected: list[Server], on: bool) -> None:
         world = self.world
-        if isinstance(trouble, days.FastErrors):
-            for server in struck:
-                server.fail_share = trouble.share if on else 0.0
-        elif isinstance(trouble, days.Hang):
-            for server in struck:
+        if isinstance(fault, days.FastErrors):
+            for server in affected:
+                server.error_share = fault.share if on else 0.0
+        elif isinstance(fault, days.Hang):
+            for server in affected:
                 server.hang(on)
-        elif isinstance(trouble, days.HeavyTail):
+        elif isinstance(fault, days.HeavyTail):
             if on:
-                world.clients.heavy[trouble.cls, trouble.tier] = (trouble.share, trouble.times)
+                world.clients.heavy_tails[fault.cls, fault.tier] = (fault.share, fault.times)
             else:
-                world.clients.heavy.pop((trouble.cls, trouble.tier), None)
-        elif isinstance(trouble, days.StaleDiscovery):
+                world.clients.heavy_tails.pop((fault.cls, fault.tier), None)
+        elif isinstance(fault, days.StaleDiscovery):
             for registry in world.registries:
-                registry.behind = trouble.behind_s if on else 0.0
+                registry.extra_delay = fault.behind_s if on else 0.0
         else:
-            world.clients.burst = trouble.times if on else 1.0
+            world.clients.burst_factor = fault.times if on else 1.0
--- a/granitepoint/emulator/world.py
+++ b/granitepoint/emulator/world.py
@@ -11,18 +11,20 @@
 from granitepoint.emulator.clients import Clients, Front
 from granitepoint.emulator.day import Day
 from granitepoint.emulator.instance import Instance
-from granitepoint.emulator.loop import Loop
-from granitepoint.emulator.registry import Desk, Registry
+from granitepoint.emulator.loop import EventLoop
+from granitepoint.emulator.registry import DiscoveryEndpoint, Registry
 from granitepoint.emulator.server import Server
-from granitepoint.emulator.tally import Begin, EmulatorFault, Sample, Tally
-from granitepoint.emulator.troubles import Troubles
+from granitepoint.emulator.tally import Begin, EmulatorError, Sample, Tally
+from granitepoint.emulator.troubles import FaultInjector
 from granitepoint.fleet.plan import derive
 from granitepoint.fleet.results import Record
 from granitepoint.interface import Settings
 
-TAIL = 5.0  # s after the last request has ended, in which what servers still do for nothing counts
-SLICE = 1.0  # s between two looks at whether all has ended
-SAMPLE = 1.0  # s between two looks at where instances stand
+MAX_TRAILING_TIME = (
+    5.0  # s after the last request has ended, in which what servers still do for nothing counts
+)
+END_CHECK_INTERVAL = 1.0  # s between two looks at whether all has ended
+SAMPLE_INTERVAL = 1.0  # s between two looks at where instances stand
 
 
 class World:
@@ -30,52 +32,52 @@
 
     def __init__(self, day: Day) -> None:
         self.day = day
-        self.loop = Loop()
-        self.tiers = day.depths()
+        self.loop = EventLoop()
+        self.tiers = day.expanded_tiers()
         self.tally = Tally(day, self.tiers)
-        self._settings: dict[tuple[int, str], Settings] = {}
-        self._calls = self._instances = 0
-        self._network = self._random("network")
-        self._delays = {
+        self._settings_cache: dict[tuple[int, str], Settings] = {}
+        self._call_count = self._instance_count = 0
+        self._network = self._random_stream("network")
+        self._zone_delays = {
             (one, other): (day.network.same_ms if one == other else day.network.cross_ms) / 1e3
             for one in day.zones
             for other in day.zones
         }
         self.jitter = day.network.jitter
-        self._ids = self._random("ids")
+        self._ids = self._random_stream("ids")
         self.servers: dict[int, Server] = {}
-        self.by_tier: list[list[Server]] = [[] for _ in self.tiers]
-        desk = Desk(self)
+        self.servers_by_tier: list[list[Server]] = [[] for _ in self.tiers]
+        endpoint = DiscoveryEndpoint(self)
         depths = range(len(self.tiers))
-        self.registries = [Registry(self, desk, self._random("list", depth)) for depth in depths]
+        self.registries = [Registry(self, endpoint, self._random_stream("list", depth)) for depth in depths]
         self.front = Front(self)
         self.proxies: list[Instance] = []
-        self.clients = Clients(self, self._random("clients"), self._random("manners"))
-        self.troubles = Troubles(self, self._random("troubles"))
+        self.clients = Clients(self, self._random_stream("clients"), self._random_stream("manners"))
+        self.faults = FaultInjector(self, self._random_stream("troubles"))
         self._build()
 
-    def _random(self, *names: object) -> Random:
+    def _random_stream(self, *names: object) -> Random:
         return Random(derive(self.day.seed, *names))
 
     # -- building
     def _build(self) -> None:
         zones = self.day.zones
         for depth, tier in enumerate(self.tiers):
-            speeds = self._random("speeds", depth)
+            speeds = self._random_stream("speeds", depth)
             for number in range(tier.servers):
                 speed = draw(speeds, "lognormal", tier.speed, tier.speed_cv)
                 if tier.speeds:
                     speed = tier.speeds[number]
                 cell = number // len(zones) // tier.cell_size
                 server = self._new_server(depth, zones[number % len(zones)], cell, speed)
-                self.registries[depth].enrol(server)
-        starts = self._random("starts")
+                self.registries[depth].add_initial(server)
+        starts = self._random_stream("starts")
         for number in range(self.day.front.proxies):
             zone, seed = zones[number % len(zones)], derive(self.day.seed, "proxy", number)
             proxy = Instance(self, 0, zone, number, self.day.front.proxies, seed)
             self.proxies.append(proxy)
             self.front.add(proxy)
-            self.loop.at(starts.random() * self.day.front.start_spread_s, self._start_proxy, proxy)
+            self.loop.call_at(starts.random() * self.day.front.start_spread_s, self._start_proxy, proxy)
         for server in self.servers.values():
             if server.instance is not None:
                 server.instance.start()
@@ -88,48 +90,50 @@
         id = self._ids.getrandbits(32)
         while id in self.servers:
             id = self._ids.getrandbits(32)
-        server = Server(self, depth, self.tiers[depth], id, zone, cell, speed, self._random("server", id))
-        place = len(self.by_tier[depth])
+        server = Server(
+            self, depth, self.tiers[depth], id, zone, cell, speed, self._random_stream("server", id)
+        )
+        position = len(self.servers_by_tier[depth])
         self.servers[id] = server
-        self.by_tier[depth].append(server)
+        self.servers_by_tier[depth].append(server)
         if depth + 1 < len(self.tiers):
             seed = derive(self.day.seed, "instance", id)
-            server.instance = Instance(self, depth + 1, zone, place, self.tiers[depth].servers, seed)
+            server.instance = Instance(self, depth + 1, zone, position, self.tiers[depth].servers, seed)
         return server
 
     def settings(self, stage: int, zone: str, balancers: int) -> Settings:
         key = (stage, zone)
-        if key not in self._settings:
-            self._settings[key] = self.day.settings(stage, zone, 0, balancers)
-        return self._settings[key]
+        if key not in self._settings_cache:
+            self._settings_cache[key] = self.day.settings(stage, zone, 0, balancers)
+        return self._settings_cache[key]
 
     def next_call(self) -> int:
-        self._calls += 1
-        return self._calls
+        self._call_count += 1
+        return self._call_count
 
     def next_instance(self) -> int:
-        self._instances += 1
-        return self._instances
+        self._instance_count += 1
+        return self._instance_count
 
     def delay(self, one: str, other: str) -> float:
         """Seconds that a message takes between two zones."""
-        return self._delays[one, other] * (1 + self.jitter * self._network.random())
+        return self._zone_delays[one, other] * (1 + self.jitter * self._network.random())
 
     # -- servers that come and go
     def add_server(self, depth: int, zone: str, cell: int, speed: float) -> None:
         """A new machine, cold."""
         server = self._new_server(depth, zone, cell, speed)
         server.start()
-        self.registries[depth].started(server)
+        self.registries[depth].on_started(server)
 
     def stop(self, server: Server, silent: bool) -> None:
         server.stop(silent)
-        self.registries[server.depth].lost(server, silent)
+        self.registries[server.depth].on_lost(server, silent)
 
     def start(self, server: Server) -> None:
         """The same machine with a new process, cold."""
         server.start()
-        self.registries[server.depth].started(server)
+        self.registries[server.depth].on_started(server)
 
     # -- running
     def run(self) -> list[Record]:
@@ -148,7 +152,7 @@
         for depth in range(len(self.tiers)):
             alive = [one for one in self._instances_before(depth) if one.alive]
             if alive:
-                windows, drops, out, held = zip(*[one.state() for one in alive], strict=True)
+                windows, drops, out, held = zip(*[one.admission_state() for one in alive], strict=True)
                 count = len(alive)
                 self.tally.samples.append(
                     Sample(
@@ -161,13 +165,13 @@
                         held=sum(held),
                     )  # fmt: skip
                 )
-        if at + SAMPLE <= self.day.duration_s:
-            self.loop.at(at + SAMPLE, self._sample, at + SAMPLE)
+        if at + SAMPLE_INTERVAL <= self.day.duration_s:
+            self.loop.call_at(at + SAMPLE_INTERVAL, self._sample, at + SAMPLE_INTERVAL)
 
     def _instances_before(self, depth: int) -> list[Instance]:
         if depth == 0:
             return self.proxies
-        return [server.instance for server in self.by_tier[depth - 1] if server.instance is not None]
+        return [server.instance for server in self.servers_by_tier[depth - 1] if server.instance is not None]
 
     def _run(self) -> list[Record]:
         day = self.day
@@ -177,22 +181,22 @@
             capacity_per_s=day.capacity(),
             rate_per_s=day.rate(),
             servers=len(self.servers),
-            instances=self._instances,
+            instances=self._instance_count,
             day=msgspec.to_builtins(day),
         )
-        self.clients.begin()
-        self.troubles.begin()
-        self.loop.at(SAMPLE, self._sample, SAMPLE)
+        self.clients.start()
+        self.faults.start()
+        self.loop.call_at(SAMPLE_INTERVAL, self._sample, SAMPLE_INTERVAL)
         until = day.duration_s
         self.loop.run(until)
-        latest = until + max(cls.deadline_ms for cls in day.classes) / 1e3 + SLICE
-        while self.tally.open:
-            until += SLICE
-            if until > latest + SLICE:
-                raise EmulatorFault(f"{self.tally.open} requests have not ended")
+        latest = until + max(cls.deadline_ms for cls in day.classes) / 1e3 + END_CHECK_INTERVAL
+        while self.tally.open_requests:
+            until += END_CHECK_INTERVAL
+            if until > latest + END_CHECK_INTERVAL:
+                raise EmulatorError(f"{self.tally.open_requests} requests have not ended")
             self.loop.run(until)
-        latest = until + TAIL
-        while until < latest and any(server.held() for server in self.servers.values()):
-            until += SLICE
+        latest = until + MAX_TRAILING_TIME
+        while until < latest and any(server.held_requests() for server in self.servers.values()):
+            until += END_CHECK_INTERVAL
             self.loop.run(until)
         return self.tally.records(begin)
--- a/granitepoint/experiments/cell.py
+++ b/granitepoint/experiments/cell.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from granitepoint.emulator.day import Day, check
-from granitepoint.emulator.tally import EmulatorFault
+from granitepoint.emulator.tally import EmulatorError
 from granitepoint.emulator.world import World
 from granitepoint.fleet.experiment import ExperimentError
 
@@ -19,7 +19,7 @@
     try:
         day = check(msgspec.json.decode(sys.stdin.buffer.read(), type=Day))
         records = World(day).run()
-    except (msgspec.MsgspecError, ExperimentError, EmulatorFault) as fault:
+    except (msgspec.MsgspecError, ExperimentError, EmulatorError) as fault:
         print(" ".join(str(fault).split()), file=sys.stderr)
         return 1
     for record in records:
--- a/granitepoint/experiments/plots.py
+++ b/granitepoint/experiments/plots.py
@@ -31,7 +31,7 @@
     @property
     def times(self) -> list[float]:
         """The middles of its windows, in s."""
-        return [window.from_s + tally.WINDOW / 2 for window in self.windows]
+        return [window.from_s + tally.WINDOW_LENGTH / 2 for window in self.windows]
 
 
 def read(title: str, records: Sequence[Records]) -> Play:
@@ -49,8 +49,8 @@
 
 
 def _arrival(axes: Axes, play: Play) -> None:
-    axes.plot(play.times, [w.offered / tally.WINDOW for w in play.windows], label="first tries")
-    axes.plot(play.times, [w.tries / tally.WINDOW for w in play.windows], label="with retries")
+    axes.plot(play.times, [w.offered / tally.WINDOW_LENGTH for w in play.windows], label="first tries")
+    axes.plot(play.times, [w.tries / tally.WINDOW_LENGTH for w in play.windows], label="with retries")
 
 
 def _served(axes: Axes, play: Play) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from granitepoint.emulator import tally
-from granitepoint.emulator.calls import Attempt, Call, End, Request, State, draw
+from granitepoint.emulator.calls import Attempt, Call, CallResult, Request, AttemptState, draw
 from granitepoint.emulator.command import emulate
 from granitepoint.emulator.day import Choke, parse
 from granitepoint.emulator.instance import Instance
@@ -61,7 +61,7 @@
 worth = 3.0
 effect = "once"
 """
-TROUBLES = """
+FAULTS = """
 [[troubles]]
 kind = "roll"
 at_s = 0.5
@@ -110,14 +110,16 @@
 """
 
 
-class Asked:
+class RecordingCaller:
     """Takes the ends of calls."""
 
     def __init__(self) -> None:
-        self.ends: list[End] = []
+        self.ends: list[CallResult] = []
 
-    def answered(self, call: Call, end: End, retry_after: float, attempt: Attempt | None) -> None:
-        self.ends.append(end)
+    def on_call_ended(
+        self, call: Call, total_record: CallResult, retry_after: float, attempt: Attempt | None
+    ) -> None:
+        self.ends.append(total_record)
 
 
 class Bench:
@@ -131,22 +133,22 @@
         self.day = msgspec.structs.replace(day, tiers=[tier], network=network, limits=limits)
         self.world = World(self.day)
         self.loop = self.world.loop
-        self.server: Server = self.world.by_tier[0][0]
+        self.server: Server = self.world.servers_by_tier[0][0]
         self.instance = self.world.proxies[0]
         self.loop.run(0.0)
         self.done: dict[int, tuple[float, Status]] = {}
-        self.instance.replied = self._replied  # type: ignore[method-assign]
+        self.instance.on_reply = self._replied  # type: ignore[method-assign]
 
     def _replied(self, attempt: Attempt) -> None:
-        attempt.status = attempt.reply
-        self.done[attempt.number] = (round(self.loop.now, 6), Status(attempt.reply))
+        attempt.status = attempt.reply_status
+        self.done[attempt.number] = (round(self.loop.now, 6), Status(attempt.reply_status))
 
     def send(self, number: int, at: float, work: float, deadline: float = 100.0) -> Attempt:
         cls = self.day.classes[0]
-        request = Request(number, cls, "", "a", at, work, self.world.tally.window(at), Random(number))
-        call = Call(self.world.next_call(), request, Asked(), deadline, work)
+        request = Request(number, cls, "", "a", at, work, self.world.tally.window_at(at), Random(number))
+        call = Call(self.world.next_call(), request, RecordingCaller(), deadline, work)
         attempt = Attempt(call, number, self.instance, self.server, at, deadline)
-        self.loop.at(at, self.server.receive, attempt)
+        self.loop.call_at(at, self.server.receive, attempt)
         return attempt
 
 
@@ -205,52 +207,61 @@
 # -- whole runs
 def test_the_same_seed_gives_the_same_bytes_in_another_process(tmp_path: Path) -> None:
     path = tmp_path / "day.toml"
-    path.write_text(SMALL + TROUBLES)
-    outs = []
+    path.write_text(SMALL + FAULTS)
+    outputs = []
     for number, salt in enumerate(("1", "2", "3")):
         out = tmp_path / f"{number}.jsonl"
         command = [sys.executable, "-m", "granitepoint.emulator", str(path), "--json", str(out)]
         command += ["--seed", "6"] if number == 2 else []
-        done = subprocess.run(command, capture_output=True, check=True, env={"PYTHONHASHSEED": salt},
+        completed = subprocess.run(command, capture_output=True, check=True, env={"PYTHONHASHSEED": salt},
                               cwd=ROOT, timeout=120)  # fmt: skip
-        outs.append((done.stdout, out.read_bytes()))
-    assert outs[0] == outs[1]
-    assert outs[0] != outs[2]
+        outputs.append((completed.stdout, out.read_bytes()))
+    assert outputs[0] == outputs[1]
+    assert outputs[0] != outputs[2]
 
 
 @settings(max_examples=6, deadline=None)
 @given(st.integers(0, 10_000), st.sampled_from(["none", "queued", "running"]), st.booleans())
 def test_every_request_ends_exactly_once_in_every_trouble(seed: int, cancel: str, passes: bool) -> None:
     text = SMALL.replace("slots = 4", f'slots = 4\ncancel = "{cancel}"\ndrops_expired = true')
-    world = World(msgspec.structs.replace(parse(text + TROUBLES), seed=seed, passes_deadline=passes))
+    world = World(msgspec.structs.replace(parse(text + FAULTS), seed=seed, passes_deadline=passes))
     records = world.run()
-    end = total(records)
-    assert sum(end.ends.values()) == end.requests > 100
-    assert world.tally.open == 0
+    total_record = total(records)
+    assert sum(total_record.ends.values()) == total_record.requests > 100
+    assert world.tally.open_requests == 0
     classes = [record for record in records if isinstance(record, tally.Group) and record.kind == "class"]
     windows = [record for record in records if isinstance(record, tally.Window)]
-    for held in (classes, windows):
-        assert sum(sum(one.ends.values()) for one in held) == end.requests
+    for running_counts in (classes, windows):
+        assert sum(sum(one.ends.values()) for one in running_counts) == total_record.requests
     for depth in (record for record in records if isinstance(record, tally.Depth)):
         assert depth.work_served <= depth.work_done + 1e-6
     for server in world.servers.values():
-        lives = [life for owner, lives in _pools(world) if owner is server for life in lives]
-        assert lives.count(server.life) <= server.open
-    assert end.breaks["out_of_place"] == end.breaks["unanswered"] == 0
+        incarnations = [
+            incarnation
+            for owner, incarnations in _pools(world)
+            if owner is server
+            for incarnation in incarnations
+        ]
+        assert incarnations.count(server.incarnation) <= server.open_connections
+    assert total_record.breaks["out_of_place"] == total_record.breaks["unanswered"] == 0
 
 
 def _pools(world: World) -> list[tuple[Server, list[int]]]:
     instances: list[Instance] = [*world.proxies, *(s.instance for s in world.servers.values() if s.instance)]
-    return [(pool.server, [life for life, _ in pool.idle]) for i in instances for pool in i.pools.values()]
+    return [
+        (pool.server, [incarnation for incarnation, _ in pool.idle])
+        for i in instances
+        for pool in i.pools.values()
+    ]
 
 
 def test_a_request_that_ends_twice_is_a_fault() -> None:
     bench = Bench()
     request = bench.send(1, 0.0, 1.0).call.request
-    bench.world.tally.begin(request)
-    bench.world.tally.end(request, "refused", 1.0)
-    with pytest.raises(tally.EmulatorFault, match="ended twice"):
-        bench.world.tally.end(request, "refused", 1.0)
+    bench.world.tally.request_started(request)
+    bench.world.tally.request_ended(request, "refused", 1.0)
+    with pytest.raises(tally.EmulatorError, match="ended twice"):
+        bench.world.tally.request_ended(request, "refused", 1.0)
 
 
 def test_what_comes_does_not_depend_on_the_answers() -> None:
@@ -262,10 +273,14 @@
     text = SMALL.replace("rate_per_s = 40.0", "rate_per_s = 2.0").replace("aim_ms = 300.0", "aim_ms = 900.0")
     # Work of one size: the module calls long ones off and sends them again, which is waste.
     text = text.replace("aim_ms", 'dist = "fixed"\naim_ms')
-    end = run(text, duration_s=10.0)
-    assert end.ends["in_time"] == end.requests > 10
-    assert end.worth_served == 1.0 and end.wasted == 0.0 and not any(end.breaks.values())
-    assert end.tries_per_request == 1.0
+    total_record = run(text, duration_s=10.0)
+    assert total_record.ends["in_time"] == total_record.requests > 10
+    assert (
+        total_record.worth_served == 1.0
+        and total_record.wasted == 0.0
+        and not any(total_record.breaks.values())
+    )
+    assert total_record.tries_per_request == 1.0
 
 
 # -- the server against figures worked by hand
@@ -302,19 +317,19 @@
     bench.send(2, 0.2, 1.0)
     bench.loop.run(10.0)
     assert bench.done == {0: (1.0, Status.OK), 2: (2.0, Status.OK)}
-    assert dropped.state is State.OVER and dropped.used == 0
+    assert dropped.state is AttemptState.FINISHED and dropped.work_spent == 0
 
 
 @pytest.mark.parametrize(("cancel", "done_at", "used"), [("none", 2.0, 1.0), ("running", 1.25, 0.25)])
 def test_what_a_cancel_ends_depends_on_the_tier(cancel: str, done_at: float, used: float) -> None:
     bench = Bench(cancel=cancel)
-    left = bench.send(0, 0.0, 1.0)
+    abandoned = bench.send(0, 0.0, 1.0)
     bench.send(1, 0.0, 1.0)
-    bench.loop.at(0.5, bench.server.abandon, left)
+    bench.loop.call_at(0.5, bench.server.abandon, abandoned)
     bench.loop.run(10.0)
     # Each has had 0.25 by then. With the first gone, the second's 0.75 take until 1.25.
     assert bench.done[1][0] == done_at
-    assert left.used == pytest.approx(used)
+    assert abandoned.work_spent == pytest.approx(used)
 
 
 def test_holding_too_many_costs_capacity() -> None:
@@ -334,18 +349,20 @@
     bench.send(1, 0.0, work)
     bench.loop.run(50.0)
     # Work done by t: 0.25 t + 0.75 t^2 / 16 up to 8 s, where it is 5; one a second from then on.
-    wanted = 8.0 + work - 5.0 if work >= 5 else (-0.25 + math.sqrt(0.0625 + 4 * work * 0.046875)) / 0.09375
-    assert bench.done[1][0] == pytest.approx(wanted, abs=1e-6)
+    expected = 8.0 + work - 5.0 if work >= 5 else (-0.25 + math.sqrt(0.0625 + 4 * work * 0.046875)) / 0.09375
+    assert bench.done[1][0] == pytest.approx(expected, abs=1e-6)
 
 
 def test_a_cold_server_that_is_sent_too_much_falls_and_the_rule_is_broken_if_the_senders_knew() -> None:
-    for told in (True, False):
+    for notified in (True, False):
         bench = Bench(cold_from=0.25, cold_s=8.0, slots=50)
         bench.loop.run(1.0)
         bench.server.stop()
         bench.server.start()
-        if told:
-            bench.instance.post_list(ListKind.INCREMENTAL, [bench.server.entry(ServerState.SERVING)], 1)
+        if notified:
+            bench.instance.receive_list(
+                ListKind.INCREMENTAL, [bench.server.list_entry(ServerState.SERVING)], 1
+            )
         # 3 x 0.25 x 2 s = 1.5 core seconds, of which one request counts 0.5 at most.
         for number, work in enumerate([9.0, 0.4, 0.4]):
             bench.send(number, 1.0, work)
@@ -357,7 +374,7 @@
         bench.loop.run(2.0)
         assert not bench.server.up
         assert {status for _, status in bench.done.values()} == {Status.RESET}
-        assert bench.world.tally.breaks["cold_fall"] == told
+        assert bench.world.tally.violations["cold_fall"] == notified
 
 
 def test_a_crowded_server_chokes_and_recovers_when_it_has_rested() -> None:
@@ -382,16 +399,16 @@
     # chokes after 0.9 more.
     assert [at for at, _ in bench.done.values()] == [0.8, 0.8]
     bench.loop.run(2.19)
-    assert bench.server.choked_at == math.inf
+    assert bench.server.choked_since == math.inf
     bench.loop.run(2.21)
-    assert bench.server.choked_at == pytest.approx(2.2)
+    assert bench.server.choked_since == pytest.approx(2.2)
 
 
 def test_a_hung_server_does_nothing_until_it_is_back() -> None:
     bench = Bench()
     bench.send(1, 0.0, 1.0)
-    bench.loop.at(0.5, lambda _: bench.server.hang(True))
-    bench.loop.at(3.5, lambda _: bench.server.hang(False))
+    bench.loop.call_at(0.5, lambda _: bench.server.hang(True))
+    bench.loop.call_at(3.5, lambda _: bench.server.hang(False))
     bench.loop.run(10.0)
     assert bench.done == {1: (4.0, Status.OK)}
 
@@ -400,24 +417,24 @@
     bench = Bench(report_period_ms=1000.0, report_delay_ms=100.0, report_noise=0.0, probe_us=0.0)
     server = bench.server
     server.report_phase = 0.0
-    seen: list[tuple[float, float]] = []
+    reports: list[tuple[float, float]] = []
 
     def look(_: object) -> None:
-        report = server.probed()[1]
+        report = server.answer_probe()[1]
         assert report is not None
-        seen.append((bench.loop.now, report["busy_reqs"]))
+        reports.append((bench.loop.now, report["busy_reqs"]))
 
     bench.send(1, 0.5, 1.0)  # held from 0.5 to 1.5
     for at in (0.8, 1.05, 1.2, 1.9, 2.05, 2.2):
-        bench.loop.at(at, look)
+        bench.loop.call_at(at, look)
     bench.loop.run(5.0)
-    assert seen == [(0.8, 0.0), (1.05, 0.0), (1.2, 1.0), (1.9, 1.0), (2.05, 1.0), (2.2, 0.0)]
+    assert reports == [(0.8, 0.0), (1.05, 0.0), (1.2, 1.0), (1.9, 1.0), (2.05, 1.0), (2.2, 0.0)]
 
 
 def test_a_draining_server_takes_what_comes_at_first_and_resets_what_is_left_at_its_end() -> None:
     bench = Bench()
-    bench.loop.at(1.0, lambda _: bench.server.drain(4.0))
-    bench.loop.at(5.0, lambda _: bench.world.stop(bench.server, silent=False))
+    bench.loop.call_at(1.0, lambda _: bench.server.drain(4.0))
+    bench.loop.call_at(5.0, lambda _: bench.world.stop(bench.server, silent=False))
     bench.send(1, 2.0, 1.0)
     bench.send(2, 2.5, 9.0)
     bench.send(3, 3.5, 1.0)
@@ -427,43 +444,45 @@
 
 def test_connections_are_capped_kept_for_the_next_call_and_closed_when_idle() -> None:
     bench = Bench(connections=2, handshake_us=0.0)
-    instance, server, idle_for = bench.instance, bench.server, bench.day.limits.conn_idle_s
+    instance, server, idle_timeout = bench.instance, bench.server, bench.day.limits.conn_idle_s
     instance._handle = instance.inbox.clear  # type: ignore[method-assign]  # the module is not asked
     request = bench.send(1, 99.0, 0.1).call.request
     calls: list[Call] = []
     for _ in range(3):
-        calls.append(Call(bench.world.next_call(), request, Asked(), 1.0, 0.1))
-        instance.take(calls[-1])
+        calls.append(Call(bench.world.next_call(), request, RecordingCaller(), 1.0, 0.1))
+        instance.accept(calls[-1])
         instance._send(Send(calls[-1].id, server.id, 1.0))
-    del instance.replied
+    del instance.on_reply
     bench.loop.run(0.5)
     assert [call.attempts[0].status for call in calls] == [Status.OK, Status.OK, Status.CONNECT_FAILED]
-    assert (server.open, bench.world.tally.depths[0].handshakes) == (2, 2)
+    assert (server.open_connections, bench.world.tally.depths[0].handshakes) == (2, 2)
     instance._send(Send(calls[2].id, server.id, 0.5))
     bench.loop.run(1.0)
     assert calls[2].attempts[1].status == Status.OK
-    assert calls[2].attempts[1].rested > 0 and bench.world.tally.depths[0].handshakes == 2
-    bench.loop.run(idle_for + 2.0)
-    assert server.open == 0 and not any(pool.idle for pool in instance.pools.values())
+    assert calls[2].attempts[1].idle_for > 0 and bench.world.tally.depths[0].handshakes == 2
+    bench.loop.run(idle_timeout + 2.0)
+    assert server.open_connections == 0 and not any(pool.idle for pool in instance.pools.values())
 
 
 @pytest.mark.parametrize(("surge", "least"), [(True, 3), (False, 2)])
-def test_a_roll_replaces_each_server_and_one_that_surges_never_has_fewer(surge: bool, least: int) -> None:
+def test_a_roll_replaces_each_server_and_one_that_surges_never_has_fewer(
+    surge: bool, min_running: int
+) -> None:
     roll = '[[troubles]]\nkind = "roll"\nat_s = 0.5\nfor_s = 3.0\ndrain_s = 0.2\n'
     roll += f"surge = {str(surge).lower()}\n"
     world = World(parse(SMALL.replace("duration_s = 4.0", "duration_s = 8.0") + roll))
-    before = list(world.by_tier[0])
-    held: list[int] = []
+    before = list(world.servers_by_tier[0])
+    running_counts: list[int] = []
 
     def look(_: object) -> None:
-        held.append(sum(server.up and not server.draining for server in world.by_tier[0]))
-        world.loop.at(world.loop.now + 0.05, look)
+        running_counts.append(sum(server.up and not server.draining for server in world.servers_by_tier[0]))
+        world.loop.call_at(world.loop.now + 0.05, look)
 
-    world.loop.at(0.0, look)
+    world.loop.call_at(0.0, look)
     world.run()
     assert not any(server.up for server in before)
-    assert sum(server.up for server in world.by_tier[0]) == 3
-    assert min(held) == least
+    assert sum(server.up for server in world.servers_by_tier[0]) == 3
+    assert min(running_counts) == min_running
 
 
 # -- rules are watched
@@ -472,24 +491,24 @@
     instance, world = bench.instance, bench.world
     request = bench.send(1, 50.0, 1.0).call.request
     request.cls = bench.day.classes[1]  # must not run twice
-    call = Call(world.next_call(), request, Asked(), 5.0, 1.0)
-    instance.take(call)
-    instance.post_list(ListKind.INCREMENTAL, [bench.server.entry(ServerState.DRAINING)], 1)
+    call = Call(world.next_call(), request, RecordingCaller(), 5.0, 1.0)
+    instance.accept(call)
+    instance.receive_list(ListKind.INCREMENTAL, [bench.server.list_entry(ServerState.DRAINING)], 1)
     bench.loop.now = 0.2
     instance._send(Send(call.id, bench.server.id, 1.0))
-    assert world.tally.breaks["drain"] == 0
+    assert world.tally.violations["drain"] == 0
     instance._send(Send(call.id, bench.server.id, 1.0))
-    assert world.tally.breaks["repeat"] == 1
+    assert world.tally.violations["repeat"] == 1
     bench.loop.now = 0.3
-    instance._do(Refuse(call.id))
-    assert world.tally.breaks["repeat"] == 2
-    other = Call(world.next_call(), request, Asked(), 5.0, 1.0)
-    instance.take(other)
+    instance._perform(Refuse(call.id))
+    assert world.tally.violations["repeat"] == 2
+    other = Call(world.next_call(), request, RecordingCaller(), 5.0, 1.0)
+    instance.accept(other)
     instance._send(Send(other.id, bench.server.id, 1.0))
-    assert world.tally.breaks["drain"] == 1
+    assert world.tally.violations["drain"] == 1
     instance._send(Send(other.id, 12345, 1.0))
-    instance._probe(Probe(12345).server)
-    assert world.tally.breaks["out_of_place"] == 2
+    instance._send_probe(Probe(12345).server)
+    assert world.tally.violations["out_of_place"] == 2
 
 
 @pytest.mark.parametrize("dist", ["lognormal", "pareto"])
@@ -501,9 +520,9 @@
 
 def test_discovery_answers_in_turn_and_fails_what_has_waited_too_long() -> None:
     day = parse(SMALL)
-    sizes = msgspec.structs.replace(day.discovery, lines_per_s=100.0, call_lines=90.0, timeout_s=1.5)
-    desk = World(msgspec.structs.replace(day, discovery=sizes)).registries[0].desk
-    assert [desk.ask(10) for _ in range(3)] == [(1.0, True), (2.0, True), (1.5, False)]
+    discovery = msgspec.structs.replace(day.discovery, lines_per_s=100.0, call_lines=90.0, timeout_s=1.5)
+    endpoint = World(msgspec.structs.replace(day, discovery=discovery)).registries[0].endpoint
+    assert [endpoint.schedule_call(10) for _ in range(3)] == [(1.0, True), (2.0, True), (1.5, False)]
 
 
 def test_the_proxy_and_the_adapter_import_none_of_it() -> None:
--- a/tests/test_emulator_drawn.py
+++ b/tests/test_emulator_drawn.py
@@ -15,7 +15,7 @@
 
 
 # fmt: off
-def drawn() -> dict[str, Any]:
+def generated_day() -> dict[str, Any]:
     kind = dict(cores=2, slots=3, queue=5, thrash=0.1, knee=9.0, cold_from=0.5, cold=4_000_000,
                 error_rate=0.0, cancel="none", drops_expired=False)
     tier = dict(name="gate", calls=1.0, work=0.4, kinds=[kind], report_period=200_000, report_delay=20_000,
@@ -61,7 +61,7 @@
 
 
 def test_a_drawn_day_is_read_in_the_units_of_a_day_and_runs(tmp_path: Path) -> None:
-    day = load(write(tmp_path / "day.json", drawn()))
+    day = load(write(tmp_path / "day.json", generated_day()))
     gate, store = day.tiers
     assert (day.seed, day.duration_s, day.tick_ms) == (5, 3.0, 5.0)
     assert (gate.speeds, gate.slots, gate.room, gate.connections) == ([1.0, 2.0], 6, 10, 1201)
@@ -76,18 +76,18 @@
     assert isinstance(tail, HeavyTail) and (tail.tier, tail.share, tail.times) == (1, 0.02, 9.0)
     world = World(day)
     world.run()
-    assert world.tally.requests > 20 and world.tally.open == 0
+    assert world.tally.requests > 20 and world.tally.open_requests == 0
 
 
 def test_what_is_not_such_a_day_is_told_in_one_line(tmp_path: Path) -> None:
-    lacking = drawn()
-    del lacking["net"]["same"]
-    unknown = drawn()
+    missing_key = generated_day()
+    del missing_key["net"]["same"]
+    unknown = generated_day()
     unknown["troubles"][0]["kind"] = "flood"
-    for day, text in ((lacking, "same"), (unknown, "flood"), ({}, "not a day")):
-        with pytest.raises(ExperimentError, match=text) as fault:
+    for day, text in ((missing_key, "same"), (unknown, "flood"), ({}, "not a day")):
+        with pytest.raises(ExperimentError, match=text) as error:
             load(write(tmp_path / "day.json", day))
-        assert "day.json" in str(fault.value) and "\n" not in str(fault.value)
+        assert "day.json" in str(error.value) and "\n" not in str(error.value)
     (tmp_path / "day.json").write_text("{")
     with pytest.raises(ExperimentError, match=r"day\.json"):
         load(tmp_path / "day.json")
