--- a/granitepoint/emulator/calls.py
+++ b/granitepoint/emulator/calls.py
@@ -77,7 +77,9 @@
 
 
 class Caller(Protocol):
-    def on_call_ended(self, call: Call, end: CallResult, retry_after: float, attempt: Attempt | None) -> None:
+    def on_call_ended(
+        self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
+    ) -> None:
         """The one end of a call; `attempt` is the one that served it."""
 
 
--- a/granitepoint/emulator/clients.py
+++ b/granitepoint/emulator/clients.py
@@ -141,22 +141,24 @@
             proxy.caller_left(call)
             self.tally.request_ended(call.request, "left", self.loop.now - call.request.created_at)
 
-    def on_call_ended(self, call: Call, end: CallResult, retry_after: float, attempt: Attempt | None) -> None:
+    def on_call_ended(
+        self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
+    ) -> None:
         """One try has ended; the client hears of it a little later."""
         request = call.request
         received_at = self.loop.now + self.network_delay
         elapsed = received_at - request.created_at
-        if end is CallResult.SERVED and elapsed <= request.cls.deadline_ms / 1e3:
+        if result is CallResult.SERVED and elapsed <= request.cls.deadline_ms / 1e3:
             outcome = "in_time" if elapsed <= request.cls.aim_ms / 1e3 else "late"
             self.tally.request_ended(request, outcome, elapsed, attempt)
             return
-        next_try_at = self._next_try_at(request, end, received_at, retry_after)
+        next_try_at = self._next_try_at(request, result, received_at, retry_after)
         if next_try_at + MIN_BUDGET < request.deadline:
             self.loop.call_at(next_try_at, self._send_try, request)
             return
         outcome = (
             "refused"
-            if end is CallResult.REFUSED
+            if result is CallResult.REFUSED
             else "timed_out"
             if self.loop.now >= call.deadline
             else "failed"
@@ -172,11 +174,11 @@
         return cls.effect == "repeatable"
 
     def _next_try_at(
-        self, request: Request, end: CallResult, received_at: float, retry_after: float
+        self, request: Request, result: CallResult, received_at: float, retry_after: float
     ) -> float:
         """When the next try begins; never, if none is due."""
         behavior = self.behavior
-        allowed = end in (CallResult.REFUSED, CallResult.LOST) or self._may_repeat(request, received_at)
+        allowed = result in (CallResult.REFUSED, CallResult.LOST) or self._may_repeat(request, received_at)
         if request.tries > behavior.retries or not allowed:
             return math.inf
         wait = 0.0 if behavior.backoff == "none" else behavior.backoff_ms / 1e3
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -20,12 +20,12 @@
 class ConnectionPool:
     """Idle connections to one server: the process that each leads to, and when it was last used."""
 
-    __slots__ = ("idle", "server", "sweep_scheduled")
+    __slots__ = ("idle", "server", "expiry_scheduled")
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.idle: list[tuple[int, float]] = []
-        self.sweep_scheduled = False  # a look at their age is due
+        self.expiry_scheduled = False  # a look at their age is due
 
 
 class Instance:
@@ -40,7 +40,7 @@
         self.tier_counts = world.tally.depths[stage]
         self.registry = world.registries[stage]
         self.number: int = world.next_instance()
-        self.tick = self.day.tick_ms / 1e3
+        self.tick_length = self.day.tick_ms / 1e3
         self.idle_timeout = self.day.limits.conn_idle_s
         self.connect_timeout = self.day.limits.connect_timeout_ms / 1e3
         self.max_attempts = self.day.limits.max_attempts
@@ -107,9 +107,11 @@
         """Put an event into the next batch."""
         self.inbox.append(event)
         if self.next_batch_tick < 0:
-            self.next_batch_tick = int(self.loop.now / self.tick) + 1
+            self.next_batch_tick = int(self.loop.now / self.tick_length) + 1
             self.loop.call_at(
-                self.next_batch_tick * self.tick, self._run_batch, (self.incarnation, self.next_batch_tick)
+                self.next_batch_tick * self.tick_length,
+                self._run_batch,
+                (self.incarnation, self.next_batch_tick),
             )
 
     def receive_list(self, kind: api.ListKind, entries: list[api.ServerEntry], version: int) -> None:
@@ -176,8 +178,8 @@
             self.tally.violations["out_of_place"] += 1
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        tick = max(math.ceil((self.loop.now + action.delay) / self.tick - 1e-6), 1)
-        self.loop.call_at(tick * self.tick, self._on_timer, (self.incarnation, action.token))
+        tick = max(math.ceil((self.loop.now + action.delay) / self.tick_length - 1e-6), 1)
+        self.loop.call_at(tick * self.tick_length, self._on_timer, (self.incarnation, action.token))
 
     # -- calls
     def accept(self, call: Call) -> None:
@@ -389,8 +391,8 @@
         if pool is None:
             pool = self.pools[server.id] = ConnectionPool(server)
         pool.idle.append((server.incarnation, self.loop.now))
-        if not pool.sweep_scheduled:
-            pool.sweep_scheduled = True
+        if not pool.expiry_scheduled:
+            pool.expiry_scheduled = True
             self.loop.call_at(
                 self.loop.now + self.idle_timeout, self._close_expired, (self.incarnation, pool)
             )
@@ -403,7 +405,7 @@
         while pool.idle and pool.idle[0][1] <= oldest + 1e-9:
             if pool.idle.pop(0)[0] == pool.server.incarnation:
                 pool.server.open_connections -= 1
-        pool.sweep_scheduled = bool(pool.idle)
+        pool.expiry_scheduled = bool(pool.idle)
         if pool.idle:
             self.loop.call_at(pool.idle[0][1] + self.idle_timeout, self._close_expired, argument)
 
--- a/granitepoint/emulator/server.py
+++ b/granitepoint/emulator/server.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from granitepoint.emulator.calls import Attempt, Call, CallResult, AttemptState, draw
+from granitepoint.emulator.calls import Attempt, AttemptState, Call, CallResult, draw
 from granitepoint.emulator.day import Tier
 from granitepoint.interface import ServerEntry, ServerState, Status
 
@@ -16,10 +16,10 @@
     from granitepoint.emulator.instance import Instance
     from granitepoint.emulator.world import World
 
-WORK_SHARE_BEFORE_CALLS = 0.5  # of an attempt's work that is done before its calls
+WORK_FRACTION_BEFORE_CALLS = 0.5  # of an attempt's work that is done before its calls
 FAST_ERROR_TIME = 1e-3  # s until a struck server has failed a request
 WORK_EPSILON = 1e-9  # core seconds that count as none
-DRAIN_ACCEPT_SHARE = 0.5  # of a drain's time, in which new requests are still taken: the lists come late
+DRAIN_ACCEPT_FRACTION = 0.5  # of a drain's time, in which new requests are still taken: the lists come late
 REST_CHECKS = 4  # of the time of rest, at which a choked server is looked at
 
 
@@ -93,22 +93,22 @@
         tier = self.tier
         return tier.cold_from + (1 - tier.cold_from) * (now - self.started_at) / tier.cold_s
 
-    def _full_speed_time(self, now: float) -> float:
+    def _effective_time(self, now: float) -> float:
         """Seconds of full capacity between its start and now."""
         tier, age = self.tier, now - self.started_at
         cold = min(age, tier.cold_s)
         return tier.cold_from * cold + (1 - tier.cold_from) * cold * cold / (2 * tier.cold_s) + age - cold
 
-    def _time_at_full_speed_time(self, full_speed_time: float) -> float:
+    def _inverse_effective_time(self, effective_time: float) -> float:
         """When that many seconds of full capacity have passed since its start."""
         tier = self.tier
-        warm_up_gain = tier.cold_s * (1 + tier.cold_from) / 2
-        if full_speed_time >= warm_up_gain or tier.cold_from >= 1:
-            return self.started_at + tier.cold_s + full_speed_time - warm_up_gain
+        warm_up_effective_time = tier.cold_s * (1 + tier.cold_from) / 2
+        if effective_time >= warm_up_effective_time or tier.cold_from >= 1:
+            return self.started_at + tier.cold_s + effective_time - warm_up_effective_time
         initial_share, ramp_time = tier.cold_from, tier.cold_s / (1 - tier.cold_from)
         return (
             self.started_at
-            + (math.sqrt(initial_share * initial_share + 2 * full_speed_time / ramp_time) - initial_share)
+            + (math.sqrt(initial_share * initial_share + 2 * effective_time / ramp_time) - initial_share)
             * ramp_time
         )
 
@@ -126,7 +126,7 @@
                 self.progress += (now - advanced_at) * self.progress_rate
             else:
                 self.progress += (
-                    self._full_speed_time(now) - self._full_speed_time(advanced_at)
+                    self._effective_time(now) - self._effective_time(advanced_at)
                 ) * self.progress_rate
             if self.tier.choke is not None:
                 self.busy_time += (now - advanced_at) * min(1.0, self.active / self.cores)
@@ -170,7 +170,7 @@
         due = (
             now + remaining
             if now >= self.warm_at
-            else self._time_at_full_speed_time(self._full_speed_time(now) + remaining)
+            else self._inverse_effective_time(self._effective_time(now) + remaining)
         )
         if due < self.next_completion_at:
             self.next_completion_at = due
@@ -221,7 +221,7 @@
             return
         calls = self.calls_to_next_tier
         attempt.remaining_calls = int(calls) + (request.random.random() < calls % 1.0) if calls else 0
-        work_before_calls = work * WORK_SHARE_BEFORE_CALLS if attempt.remaining_calls else work
+        work_before_calls = work * WORK_FRACTION_BEFORE_CALLS if attempt.remaining_calls else work
         attempt.work, attempt.work_after_calls = (
             work_before_calls + attempt.handshake_work,
             work - work_before_calls,
@@ -459,10 +459,10 @@
         if self.instance is not None:
             self.instance.start()
 
-    def drain(self, ramp_time: float) -> None:
+    def drain(self, drain_time: float) -> None:
         """It ends in so many seconds. What comes in the first half of them is still taken."""
         self.draining = True
-        self.rejects_from = self.loop.now + DRAIN_ACCEPT_SHARE * ramp_time
+        self.rejects_from = self.loop.now + DRAIN_ACCEPT_FRACTION * drain_time
 
     def hang(self, on: bool) -> None:
         self.advance()
@@ -492,11 +492,11 @@
         """Before the number of held requests changes: keep what the reports since the last change said."""
         period_number = int((self.loop.now - self.report_phase) * 1e3 / self.tier.report_period_ms)
         if period_number != self.report_period_number:
-            held_attempts = float(self.held_requests())
+            held_count = float(self.held_requests())
             self.previous_report_value = (
-                self.report_value if period_number == self.report_period_number + 1 else held_attempts
+                self.report_value if period_number == self.report_period_number + 1 else held_count
             )
-            self.report_value, self.report_period_number = held_attempts, period_number
+            self.report_value, self.report_period_number = held_count, period_number
 
     def _reported_load(self, now: float) -> float:
         """Requests held when the report was last refreshed, as told by now, with noise."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from granitepoint.emulator import tally
-from granitepoint.emulator.calls import Attempt, Call, CallResult, Request, AttemptState, draw
+from granitepoint.emulator.calls import Attempt, AttemptState, Call, CallResult, Request, draw
 from granitepoint.emulator.command import emulate
 from granitepoint.emulator.day import Choke, parse
 from granitepoint.emulator.instance import Instance
@@ -114,12 +114,12 @@
     """Takes the ends of calls."""
 
     def __init__(self) -> None:
-        self.ends: list[CallResult] = []
+        self.results: list[CallResult] = []
 
     def on_call_ended(
-        self, call: Call, total_record: CallResult, retry_after: float, attempt: Attempt | None
+        self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
     ) -> None:
-        self.ends.append(total_record)
+        self.results.append(result)
 
 
 class Bench:
@@ -464,7 +464,7 @@
     assert server.open_connections == 0 and not any(pool.idle for pool in instance.pools.values())
 
 
-@pytest.mark.parametrize(("surge", "least"), [(True, 3), (False, 2)])
+@pytest.mark.parametrize(("surge", "min_running"), [(True, 3), (False, 2)])
 def test_a_roll_replaces_each_server_and_one_that_surges_never_has_fewer(
     surge: bool, min_running: int
 ) -> None:
