--- a/granitepoint/emulator/calls.py
+++ b/granitepoint/emulator/calls.py
@@ -1,7 +1,7 @@
 """Requests of clients, calls to instances and attempts at servers.
 
-A client's request leads to one or more tries. Each try is a call to a proxy; a server's call to the next tier is
-one too. An instance sends each call to servers in one or more attempts.
+A client makes one or more tries for a request; each is a call to a proxy. Servers make calls too, to the
+instance that balances the next tier. An instance sends a call to servers, in one or more attempts.
 """
 
 from __future__ import annotations
@@ -80,9 +80,7 @@
         self.attempts: list[Attempt] = []
         self.in_flight = 0  # attempts without an outcome
         self.ended = False
-        self.calling_attempt: Attempt | None = (
-            None  # at the server that makes the call; None: a client's call
-        )
+        self.calling_attempt: Attempt | None = None  # attempt whose server makes the call; None: a client's
         self.instance: Instance | None = None
 
 
@@ -138,9 +136,7 @@
     ) -> None:
         self.call, self.number, self.instance, self.server = call, number, instance, server
         self.sent_at, self.deadline = sent_at, deadline
-        self.incarnation = (
-            server.incarnation
-        )  # incarnation of the server process that its connection leads to; -1: no connection
+        self.incarnation = server.incarnation  # of the process at the end of its connection; -1: none
         self.idle_for = 0.0  # s that its connection was idle before; 0: a new connection
         self.status = -1  # -1: in flight
         self.reply_status = -1  # status that the server has answered, before the answer arrives; -1: none
--- a/granitepoint/emulator/day.py
+++ b/granitepoint/emulator/day.py
@@ -1,6 +1,7 @@
 """Configuration of a day (one scenario that is played), read from a TOML file.
 
-A day describes the fleet, the traffic, the behavior of clients and the faults. The suffix of a key names its unit.
+A day describes the fleet, the traffic, the behavior of clients and the faults. The last part of a key
+names its unit.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Traffic(_StrictStruct, kw_only=True):
-    """Rate of the clients' first tries, independent of answers. Exactly one of `rate_per_s` and `load` is set."""
+    """Rate of first tries, independent of answers. Exactly one of `rate_per_s` and `load` is set."""
 
     rate_per_s: float = 0.0
     load: float = 0.0  # rate as a share of the capacity of the bottleneck tier
@@ -112,8 +113,8 @@
 class Choke(_StrictStruct, kw_only=True):
     """Overload that persists: a server that is crowded for `over_s` is choked (slower) until it has rested.
 
-    A server is crowded while it has at least `at` requests per core. Each second without crowding takes back a
-    second of crowded time.
+    A server is crowded while it has at least `at` requests per core. Each second without crowding takes back
+    one second of crowded time.
     """
 
     at: float  # requests that need a core (running or queued), per core
@@ -145,9 +146,7 @@
     cold_from: float = 0.5  # share of its capacity that a server has at its start
     cold_s: float = 6.0  # until it has its full capacity; the share grows linearly
     error_rate: float = 0.0
-    cancel: Literal["none", "queued", "running"] = (
-        "none"  # which work is stopped when its caller no longer waits
-    )
+    cancel: Literal["none", "queued", "running"] = "none"  # work that is stopped for a caller that left
     drops_expired: bool = False  # a queued request is dropped if its deadline has passed
     handshake_rtts: float = 1.5
     handshake_us: float = 1000.0  # CPU time of the server, on a standard core
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -20,7 +20,7 @@
 class ConnectionPool:
     """Idle connections to one server, as (incarnation of the server process, time of the last use)."""
 
-    __slots__ = ("idle", "server", "expiry_scheduled")
+    __slots__ = ("expiry_scheduled", "idle", "server")
 
     def __init__(self, server: Server) -> None:
         self.server = server
--- a/granitepoint/emulator/server.py
+++ b/granitepoint/emulator/server.py
@@ -69,16 +69,14 @@
         self.slots_used = self.active = 0  # requests in progress; those that need a core, and probes
         self.wait_queue: deque[Attempt] = deque()
         self.calling: dict[Attempt, None] = {}  # in a slot, waiting for the next tier
-        self.completions: list[
-            tuple[float, int, Attempt | None]
-        ] = []  # by the progress at which they are done
+        # Heap of running requests by the progress at which they are done; None stands for a probe.
+        self.completions: list[tuple[float, int, Attempt | None]] = []
         self.sequence_number = 0
         self.progress = self.progress_rate = 0.0
         self.advanced_at = self.loop.now
         self.next_completion_at = math.inf
-        self.cold_sends: deque[tuple[float, float, bool]] = (
-            deque()
-        )  # while cold: (time, work, sender was notified)
+        # Requests sent to the cold process: (time, work, whether the sender was notified of its start).
+        self.cold_sends: deque[tuple[float, float, bool]] = deque()
         self.cold_work = 0.0
         self.crowded_since = math.inf
         self.crowded_time = 0.0  # s of crowding, less the seconds without since
@@ -97,7 +95,7 @@
         return tier.cold_from + (1 - tier.cold_from) * (now - self.started_at) / tier.cold_s
 
     def _effective_time(self, now: float) -> float:
-        """Integral of the capacity share from the process start to now: equivalent seconds of full capacity."""
+        """Equivalent seconds of full capacity from the process start to now (integral of the share)."""
         tier, age = self.tier, now - self.started_at
         cold = min(age, tier.cold_s)
         return tier.cold_from * cold + (1 - tier.cold_from) * cold * cold / (2 * tier.cold_s) + age - cold
--- a/granitepoint/emulator/tally.py
+++ b/granitepoint/emulator/tally.py
@@ -149,10 +149,8 @@
         self.requests = self.open_requests = self.steps = 0
         self.work_offered = 0.0
         self._latency: dict[int | str, Histogram] = {}
-        visits, self.mean_work_factor = (
-            1.0,
-            0.0,
-        )  # total work of a request at all tiers, relative to its class's
+        # Mean work of a request at all tiers, relative to the work of its class.
+        visits, self.mean_work_factor = 1.0, 0.0
         for tier in tiers:
             visits *= tier.calls
             self.mean_work_factor += visits * tier.work
@@ -263,9 +261,10 @@
 
 
 def _served_utility_share(groups: Iterable[Window | Group]) -> float:
-    held = list(groups)
-    offered = sum(group.worth_offered for group in held)
-    return sum(group.worth_served for group in held) / offered if offered else 0.0
+    """Worth served as a share of the worth offered."""
+    group_list = list(groups)
+    offered = sum(group.worth_offered for group in group_list)
+    return sum(group.worth_served for group in group_list) / offered if offered else 0.0
 
 
 def write(records: list[Record], path: Path) -> None:
--- a/tests/test_emulator_drawn.py
+++ b/tests/test_emulator_drawn.py
@@ -1,4 +1,4 @@
-"""Days that the simulator drew: units, what both know, and what is no such day."""
+"""Days that the simulator generated: conversion of units and fields, and files that are not such a day."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     return path
 
 
-def test_a_drawn_day_is_read_in_the_units_of_a_day_and_runs(tmp_path: Path) -> None:
+def test_a_generated_day_is_converted_and_runs(tmp_path: Path) -> None:
     day = load(write(tmp_path / "day.json", generated_day()))
     gate, store = day.tiers
     assert (day.seed, day.duration_s, day.tick_ms) == (5, 3.0, 5.0)
@@ -68,7 +68,7 @@
     assert (day.front.proxies, day.front.start_spread_s) == (2, 0.2)
     assert store.choke is not None and (store.choke.over_s, store.choke.most_s) == (2.0, 20.0)
     assert (day.classes[0].work_ms, day.classes[0].window_ms, day.classes[0].effect) == (100.0, 0.0, "once")
-    # 2 cores of speed 1 and 2 at the first tier, 2 of speed 1 at the second, which runs out first.
+    # The first tier has 2 cores of speed 1 and 2 of speed 2. The second has 2 of speed 1: it is the bottleneck.
     assert day.rate() == pytest.approx(0.5 * 2 / (0.1 * 0.4))
     roll, errors, tail = day.troubles
     assert isinstance(roll, Roll) and (roll.part, roll.batch, roll.drain_s) == (0.5, 0.5, 1.5)
@@ -79,7 +79,7 @@
     assert world.tally.requests > 20 and world.tally.open_requests == 0
 
 
-def test_what_is_not_such_a_day_is_told_in_one_line(tmp_path: Path) -> None:
+def test_an_unusable_file_is_reported_in_one_line(tmp_path: Path) -> None:
     missing_key = generated_day()
     del missing_key["net"]["same"]
     unknown = generated_day()
