--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -31,8 +31,9 @@
 class Instance:
     """Executes the actions of the decision module as a real proxy does.
 
-    The rules of the platform are not enforced: violations are counted in Tally.violations. Times are in
-    simulated seconds.
+    The rules of the platform are not enforced: violations are counted in Tally.violations. `stage` is the
+    index of the tier that the instance sends to, `me` its number among the `balancers` that do so. Times are
+    in simulated seconds.
     """
 
     def __init__(self, world: World, stage: int, zone: str, me: int, balancers: int, seed: int) -> None:
--- a/granitepoint/emulator/server.py
+++ b/granitepoint/emulator/server.py
@@ -27,6 +27,9 @@
 class Server:
     """A server whose running requests share its cores evenly; each uses at most one core.
 
+    `depth` is the index of its tier. A request with calls to the next tier runs in two phases, one before and
+    one after the calls.
+
     Times are in seconds, work is in seconds of a standard core. `progress` is the work that each running
     request has received since the process started (the virtual time of processor sharing). A request is done
     when `progress` reaches its value at the start of the request plus the work of the request.
@@ -66,7 +69,9 @@
 
     def _reset_state(self) -> None:
         self.open_connections = 0
-        self.slots_used = self.active = 0  # requests in progress; those that need a core, and probes
+        self.slots_used = self.active = (
+            0  # requests in progress; of these, plus probes, those that need a core
+        )
         self.wait_queue: deque[Attempt] = deque()
         self.calling: dict[Attempt, None] = {}  # in a slot, waiting for the next tier
         # Heap of running requests by the progress at which they are done; None stands for a probe.
@@ -79,9 +84,9 @@
         self.cold_sends: deque[tuple[float, float, bool]] = deque()
         self.cold_work = 0.0
         self.crowded_since = math.inf
-        self.crowded_time = 0.0  # s of crowding, less the seconds without since
+        self.crowded_time = 0.0  # s; grows while crowded, falls while not
         self.choked_since = math.inf  # infinite: not choked
-        self.busy_time = 0.0  # s in which all cores were in use; partial use counts in part
+        self.busy_time = 0.0  # s; a second with a part of the cores in use counts as that part
         self.busy_time_samples: deque[float] = deque(maxlen=REST_CHECKS + 1)
         self.report_period_number = -1
         self.report_value = self.previous_report_value = 0.0
--- a/granitepoint/emulator/world.py
+++ b/granitepoint/emulator/world.py
@@ -149,7 +149,7 @@
         thresholds = gc.get_threshold()
         gc.collect()
         gc.freeze()
-        gc.set_threshold(50_000, 20, 50)  # few reference cycles arise here
+        gc.set_threshold(50_000, 20, 50)  # few reference cycles arise, so rare collections suffice
         try:
             return self._run()
         finally:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -292,8 +292,8 @@
     bench.send(1, 0.0, 1.0)
     bench.send(2, 0.5, 1.0)
     bench.loop.run(10.0)
-    # The first runs alone until 0.5 s, then both run at half speed. The first has 0.5 core seconds left and is
-    # done at 1.5 s; the second then has 0.5 left, runs alone and is done at 2.0 s.
+    # The first runs alone until 0.5 s, then both run at half speed. The first has 0.5 core seconds left and
+    # is done at 1.5 s; the second then has 0.5 left, runs alone and is done at 2.0 s.
     assert bench.done == {1: (1.5, Status.OK), 2: (2.0, Status.OK)}
 
 
--- a/tests/test_emulator_drawn.py
+++ b/tests/test_emulator_drawn.py
@@ -68,7 +68,7 @@
     assert (day.front.proxies, day.front.start_spread_s) == (2, 0.2)
     assert store.choke is not None and (store.choke.over_s, store.choke.most_s) == (2.0, 20.0)
     assert (day.classes[0].work_ms, day.classes[0].window_ms, day.classes[0].effect) == (100.0, 0.0, "once")
-    # The first tier has 2 cores of speed 1 and 2 of speed 2. The second has 2 of speed 1: it is the bottleneck.
+    # The first tier has 2 cores of speed 1 and 2 of speed 2; the second, the bottleneck, has 2 of speed 1.
     assert day.rate() == pytest.approx(0.5 * 2 / (0.1 * 0.4))
     roll, errors, tail = day.troubles
     assert isinstance(roll, Roll) and (roll.part, roll.batch, roll.drain_s) == (0.5, 0.5, 1.5)
