--- a/granitepoint/emulator/calls.py
+++ b/granitepoint/emulator/calls.py
@@ -1,4 +1,8 @@
-"""What travels through the world: a client's request, a call to an instance, an attempt at a server."""
+"""Requests of clients, calls to instances and attempts at servers.
+
+A client makes one or more tries for a request; each is a call to a proxy. Servers make calls too, to the
+instance that balances the next tier. An instance sends a call to servers, in one or more attempts.
+"""
 
 from __future__ import annotations
 
@@ -16,21 +20,24 @@
     from granitepoint.emulator.tally import Window
 
 
-class End(Enum):
-    """How a call ended, as its asker sees it."""
+class CallResult(Enum):
+    """How a call ended, as its caller sees it."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # no instance could be reached, or it died with the call
+    LOST = "lost"  # no instance could be reached, or it terminated with the call in progress
 
 
 class Request:
-    """What a client wants, over all its tries. Times in simulated seconds, work in core seconds."""
+    """A client's request over all its tries.
+
+    Times are in simulated seconds, work is in seconds of a standard core.
+    """
 
     __slots__ = (
-        "born", "cls", "deadline", "ended", "honours", "number", "random", "tenant", "tries", "window",
-        "work", "worth", "zone",
+        "cls", "created_at", "deadline", "ended", "honors_retry_after", "number", "random", "tenant", "tries",
+        "utility", "window", "work", "zone",
     )  # fmt: skip
 
     def __init__(
@@ -39,81 +46,89 @@
         cls: Class,
         tenant: str,
         zone: str,
-        born: float,
+        created_at: float,
         work: float,
         window: Window,
         random: Random,
     ) -> None:
-        self.number, self.cls, self.tenant, self.zone, self.born, self.work = (
-            number, cls, tenant, zone, born, work,
+        self.number, self.cls, self.tenant, self.zone, self.created_at, self.work = (
+            number, cls, tenant, zone, created_at, work,
         )  # fmt: skip
         self.window = window
-        self.random = random  # of all that its calls cost, so that runs of other decisions meet the same
-        self.deadline = born + cls.deadline_ms / 1e3
-        self.worth = cls.worth
-        self.honours = True  # stays away as long as it is told
+        # Draws everything random about its calls, so that runs with other decisions get the same values.
+        self.random = random
+        self.deadline = created_at + cls.deadline_ms / 1e3
+        self.utility = cls.worth
+        self.honors_retry_after = True  # whether the client waits as long as a refusal's Retry-After says
         self.tries = 0
         self.ended = False
 
 
 class Call:
-    """One call to an instance, from a client or from a server of the tier above."""
+    """One call to an instance, from a client or from a server of the previous tier."""
 
     __slots__ = (
-        "asker", "attempts", "deadline", "ended", "event", "id", "instance", "origin", "out", "request",
-        "work",
+        "attempts", "caller", "calling_attempt", "deadline", "ended", "event", "id", "in_flight", "instance",
+        "request", "work",
     )  # fmt: skip
 
-    def __init__(self, id: int, request: Request, asker: Asker, budget: float, work: float) -> None:
-        self.id, self.request, self.asker = id, request, asker
-        self.work = work  # core seconds, of which a tier does its share
+    def __init__(self, id: int, request: Request, caller: Caller, budget: float, work: float) -> None:
+        self.id, self.request, self.caller = id, request, caller
+        self.work = work  # core seconds; each tier does its configured share of it
         self.event = Arrival(id, request.cls.name, budget, request.tenant)
-        self.deadline = math.inf  # set when an instance takes it
+        self.deadline = math.inf  # set when an instance accepts the call
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts that have no outcome yet
+        self.in_flight = 0  # attempts without an outcome
         self.ended = False
-        self.origin: Attempt | None = None  # at the server that asks
+        self.calling_attempt: Attempt | None = None  # attempt whose server makes the call; None: a client's
         self.instance: Instance | None = None
 
 
-class Asker(Protocol):
-    def answered(self, call: Call, end: End, retry_after: float, attempt: Attempt | None) -> None:
-        """The one end of a call; `attempt` is the one that served it."""
+class Caller(Protocol):
+    """Makes calls: the clients, or a server of the previous tier."""
+
+    def on_call_ended(
+        self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
+    ) -> None:
+        """Handle the end of a call, once for each call.
+
+        `retry_after` is in seconds, `attempt` is the attempt that served the call.
+        """
 
 
-class State(Enum):
-    """Of an attempt, at its server."""
+class AttemptState(Enum):
+    """State of an attempt at its server."""
 
-    AWAY = 0  # on its way there, or turned away
-    WAITING = 1  # for a slot
+    IN_TRANSIT = 0  # on the way to the server, or rejected by it
+    QUEUED = 1  # waits for a slot
     RUNNING = 2
-    CALLING = 3  # the next tier
-    OVER = 4
+    CALLING = 3  # waits for its call to the next tier
+    FINISHED = 4
 
 
 class Attempt:
-    """One execution, or a try at one, of a call at a server."""
+    """One attempt to execute a call at a server. Times in simulated seconds, work in core seconds."""
 
     __slots__ = (
         "call",
-        "calls_left",
         "deadline",
-        "finish",
-        "inner",
+        "finish_progress",
+        "handshake_work",
+        "idle_for",
+        "incarnation",
+        "inner_attempts",
+        "inner_call",
         "instance",
-        "kids",
-        "life",
         "number",
-        "overhead",
-        "reply",
-        "rest_work",
-        "rested",
+        "remaining_calls",
+        "reply_status",
         "sent_at",
         "server",
         "state",
         "status",
-        "used",
         "work",
+        "work_after_calls",
+        "work_spent",
     )  # fmt: skip
 
     def __init__(
@@ -121,26 +136,27 @@
     ) -> None:
         self.call, self.number, self.instance, self.server = call, number, instance, server
         self.sent_at, self.deadline = sent_at, deadline
-        self.life = server.life  # of the process that its connection leads to
-        self.rested = 0.0  # s that its connection had not been used; 0: a new one
-        self.status = -1  # still out
-        self.reply = -1  # the status on its way back
-        self.state = State.AWAY
-        self.overhead = 0.0  # work of its connection's handshake
-        self.work = self.rest_work = 0.0  # core seconds of the part at hand, and of the part after the calls
-        self.finish = 0.0  # the server's progress at which the part at hand is done
-        self.used = 0.0  # core seconds spent on it
-        self.calls_left = 0
-        self.inner: Call | None = None  # out to the next tier
-        self.kids: list[Attempt] = []  # that served its calls
+        self.incarnation = server.incarnation  # of the process at the end of its connection; -1: none
+        self.idle_for = 0.0  # s that its connection was idle before; 0: a new connection
+        self.status = -1  # -1: in flight
+        self.reply_status = -1  # status that the server has answered, before the answer arrives; -1: none
+        self.state = AttemptState.IN_TRANSIT
+        self.handshake_work = 0.0  # core seconds for the handshake of its connection
+        # Core seconds of the current phase, and of the phase after its calls.
+        self.work = self.work_after_calls = 0.0
+        self.finish_progress = 0.0  # Server.progress at which the current phase is done
+        self.work_spent = 0.0  # core seconds that the server spent on it, without the handshake
+        self.remaining_calls = 0
+        self.inner_call: Call | None = None  # the call to the next tier in progress
+        self.inner_attempts: list[Attempt] = []  # attempts that served its calls to the next tier
 
 
 def draw(random: Random, dist: str, mean: float, cv: float) -> float:
-    """A positive figure of that mean and coefficient of variation."""
+    """Draw a positive number with this mean and coefficient of variation."""
     if dist == "fixed" or cv <= 0:
         return mean
     if dist == "pareto":
         alpha = 1 + math.sqrt(1 + 1 / (cv * cv))
         return mean * (alpha - 1) / alpha * random.paretovariate(alpha)
-    square = math.log1p(cv * cv)
-    return random.lognormvariate(math.log(mean) - square / 2, math.sqrt(square))
+    variance = math.log1p(cv * cv)
+    return random.lognormvariate(math.log(mean) - variance / 2, math.sqrt(variance))
--- a/granitepoint/emulator/loop.py
+++ b/granitepoint/emulator/loop.py
@@ -1,4 +1,4 @@
-"""The event loop: a heap of moments, in simulated seconds."""
+"""The event loop of the emulator: a heap of callbacks, ordered by simulated time in seconds."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from typing import Any
 
 
-class Loop:
-    """Calls what is due in order of time; what is due at the same time in the order it was asked for."""
+class EventLoop:
+    """Runs callbacks in the order of their times; callbacks of the same time in the order of scheduling."""
 
-    __slots__ = ("_asked", "_heap", "now")
+    __slots__ = ("_heap", "_scheduled_count", "now")
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._asked = 0
+        self._scheduled_count = 0
         self._heap: list[tuple[float, int, Callable[[Any], None], Any]] = []
 
-    def at(self, time: float, what: Callable[[Any], None], about: object = None) -> None:
-        """Call what(about) at `time`, in seconds; a time that has passed means now."""
-        self._asked += 1
-        heappush(self._heap, (time, self._asked, what, about))
+    def call_at(self, time: float, callback: Callable[[Any], None], argument: object = None) -> None:
+        """Schedule callback(argument) for `time`, in seconds; a time in the past means `now`."""
+        self._scheduled_count += 1
+        heappush(self._heap, (time, self._scheduled_count, callback, argument))
 
     def run(self, until: float) -> int:
-        """Run all that is due up to `until`, in seconds, and return how many moments that were."""
-        heap, done = self._heap, 0
+        """Run all callbacks due up to `until`, in seconds. Returns how many have run."""
+        heap, callbacks_run = self._heap, 0
         while heap and heap[0][0] <= until:
-            time, _, what, about = heappop(heap)
+            time, _, callback, argument = heappop(heap)
             if time > self.now:
                 self.now = time
-            done += 1
-            what(about)
+            callbacks_run += 1
+            callback(argument)
         self.now = until
-        return done
+        return callbacks_run
--- a/tests/test_emulator_drawn.py
+++ b/tests/test_emulator_drawn.py
@@ -1,4 +1,4 @@
-"""Days that the simulator drew: units, what both know, and what is no such day."""
+"""Days that the simulator generated: conversion of units and fields, and files that are not such a day."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 # fmt: off
-def drawn() -> dict[str, Any]:
+def generated_day() -> dict[str, Any]:
     kind = dict(cores=2, slots=3, queue=5, thrash=0.1, knee=9.0, cold_from=0.5, cold=4_000_000,
                 error_rate=0.0, cancel="none", drops_expired=False)
     tier = dict(name="gate", calls=1.0, work=0.4, kinds=[kind], report_period=200_000, report_delay=20_000,
@@ -60,15 +60,15 @@
     return path
 
 
-def test_a_drawn_day_is_read_in_the_units_of_a_day_and_runs(tmp_path: Path) -> None:
-    day = load(write(tmp_path / "day.json", drawn()))
+def test_a_generated_day_is_converted_and_runs(tmp_path: Path) -> None:
+    day = load(write(tmp_path / "day.json", generated_day()))
     gate, store = day.tiers
     assert (day.seed, day.duration_s, day.tick_ms) == (5, 3.0, 5.0)
     assert (gate.speeds, gate.slots, gate.room, gate.connections) == ([1.0, 2.0], 6, 10, 1201)
     assert (day.front.proxies, day.front.start_spread_s) == (2, 0.2)
     assert store.choke is not None and (store.choke.over_s, store.choke.most_s) == (2.0, 20.0)
     assert (day.classes[0].work_ms, day.classes[0].window_ms, day.classes[0].effect) == (100.0, 0.0, "once")
-    # 2 cores of speed 1 and 2 at the first tier, 2 of speed 1 at the second, which runs out first.
+    # The first tier has 2 cores of speed 1 and 2 of speed 2; the second, the bottleneck, has 2 of speed 1.
     assert day.rate() == pytest.approx(0.5 * 2 / (0.1 * 0.4))
     roll, errors, tail = day.troubles
     assert isinstance(roll, Roll) and (roll.part, roll.batch, roll.drain_s) == (0.5, 0.5, 1.5)
@@ -76,18 +76,18 @@
     assert isinstance(tail, HeavyTail) and (tail.tier, tail.share, tail.times) == (1, 0.02, 9.0)
     world = World(day)
     world.run()
-    assert world.tally.requests > 20 and world.tally.open == 0
+    assert world.tally.requests > 20 and world.tally.open_requests == 0
 
 
-def test_what_is_not_such_a_day_is_told_in_one_line(tmp_path: Path) -> None:
-    lacking = drawn()
-    del lacking["net"]["same"]
-    unknown = drawn()
+def test_an_unusable_file_is_reported_in_one_line(tmp_path: Path) -> None:
+    missing_key = generated_day()
+    del missing_key["net"]["same"]
+    unknown = generated_day()
     unknown["troubles"][0]["kind"] = "flood"
-    for day, text in ((lacking, "same"), (unknown, "flood"), ({}, "not a day")):
-        with pytest.raises(ExperimentError, match=text) as fault:
+    for day, text in ((missing_key, "same"), (unknown, "flood"), ({}, "not a day")):
+        with pytest.raises(ExperimentError, match=text) as error:
             load(write(tmp_path / "day.json", day))
-        assert "day.json" in str(fault.value) and "\n" not in str(fault.value)
+        assert "day.json" in str(error.value) and "\n" not in str(error.value)
     (tmp_path / "day.json").write_text("{")
     with pytest.raises(ExperimentError, match=r"day\.json"):
         load(tmp_path / "day.json")
