--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -1,8 +1,7 @@
 """The balancer's decision logic. Its inputs and outputs are defined in granitepoint/interface.py.
 
 Order of the file: tunables, safety rules, servers and server selection, the Balancer with its queue.
-All times are in seconds. No I/O, no clock, no mutable globals; randomness comes from a seeded generator.
-"""
+All times are in seconds. No I/O, no clock, no mutable globals; randomness comes from a seeded generator."""
 
 from __future__ import annotations
 
@@ -10,13 +9,7 @@
 from bisect import insort
 from random import Random
 
-from granitepoint.admission import (
-    AVERAGING_TIME,
-    UNRESTRICTED_FRACTION,
-    Admission,
-    ClassState,
-    RunningMean,
-)
+from granitepoint.admission import AVERAGING_TIME, UNRESTRICTED_FRACTION, Admission, ClassState, RunningMean
 from granitepoint.interface import (
     NEVER_RAN,
     Action,
@@ -53,54 +46,54 @@
 from granitepoint.membership.list_lease import ListLease
 
 # -- tunables ------------------------------------------------------------------------------------------
-TICK = 0.05  # s between control steps: even the shortest calls worth steering span several
+TICK = 0.05  # s between control steps: the shortest calls whose balancing matters take several of these
 MAX_ENDED_CALL_IDS = 1000  # ids of ended calls that are kept, to recognise repeated arrivals
-STALL_THRESHOLD = 4 * TICK  # s between batches above which measured times include this instance's own pause
+STALL_THRESHOLD = 4 * TICK  # s between control steps above which measured times include a process pause
 ANSWER_MARGIN = 2 * TICK  # s before the client's deadline by which a queued call is answered
 MIN_LATENCY = 1e-4  # s, lower bound of a measured latency, so that means stay above 0
 MAX_LOCAL_POOL_SIZE = 10  # servers of its own zone that an instance uses
 MAX_POOL_SIZE = 16  # servers that an instance uses in all zones
-PRIOR_COUNT = 8.0  # samples that the prior estimate of a server's capacity counts as
+PRIOR_COUNT = 8.0  # samples: weight of the prior in the estimate of a server's capacity
 CAPACITY_SAMPLE_DECAY = 0.9  # factor applied to a server's older samples at each new one
 CAPACITY_DECAY_TIME = 30.0  # s, time constant of samples without new ones: a slow server is tried again
 PROBES_PER_CALL = 0.05  # probes per arriving call; each request makes several calls
 MIN_PROBE_RATE = 0.3  # probes per s, so that an idle instance still has load reports of its servers
 MAX_LEASE_PROBE_DEBT = 5.0  # regular probes that health checks for leases may use up in advance
-INITIAL_PROBES = 8.0  # probes at the start, over all zones: without reports an instance follows the crowd
-MAX_PRE_SEND_PRICE = 0.006  # points per call: highest price of the probes sent for that call alone
-PRE_SEND_PROBES = 3  # servers probed for one call; more than three current reports gain little
+INITIAL_PROBES = 8.0  # probes at the start, over all zones: without load reports all use the nearest servers
+MAX_PRE_SEND_PRICE = 0.006  # points: highest price of the probes that are sent for a single call
+PRE_SEND_PROBES = 3  # servers probed for a single call; more than three current reports gain little
 PRE_SEND_WAIT = 0.01  # s that a call waits for the answers to these probes
 MAX_REPORT_DELAY = 0.5  # s by which a load report may lag behind: servers refresh it periodically
-LOAD_DECAY_RATIO = 10.0  # decay time of a server's smoothed load over that of its last report
+LOAD_DECAY_RATIO = 10.0  # decay time of a server's smoothed load, as a multiple of that of its last report
 ZONE_LOAD_SAMPLES = 10  # reports in a zone's mean load: a few seconds of probes at one call per second
-CROSSING_FACTOR = 3.0  # latency objectives that a full price of crossing zones counts as in a server's cost
-TAIL_ALLOWANCE = 2.0  # mean latencies that a queued call needs when its turn comes, for long tails
+CROSSING_FACTOR = 3.0  # latency objectives per point of price_crossing, in the cost of a server elsewhere
+TAIL_ALLOWANCE = 2.0  # mean latencies that a call needs after its wait in the queue, for long tails
 RETRY_RATIO = 0.15  # further attempts per arriving call: a budget stops amplification across the tiers
 RETRY_BURST = 5.0  # further attempts that may be sent at once
 NEVER_RAN_RETRY_COST = 0.25  # further attempts that one after an attempt that never ran counts as
 HEDGE_AGE = 4.0  # mean latencies after which an attempt counts as stuck
-HEDGE_RATIO = 0.15  # work of mean calls, per arriving call, that all tiers together may spend on hedges
-HEDGE_BURST = 5.0  # work of mean calls that may be spent on hedges at once
-MAX_HEDGE_WORK = 20.0  # work of mean calls charged for a hedge: the mean may be a guess or of light calls
-HEDGE_TIME_LEFT = 3.0  # mean latencies left when a stuck call is hedged: until then it may be answered
+HEDGE_RATIO = 0.15  # hedge tokens per arriving call, over all tiers; a token pays for the work of a mean call
+HEDGE_BURST = 5.0  # hedge tokens that may be spent at once
+MAX_HEDGE_WORK = 20.0  # hedge tokens charged at most: the mean may be a guess, or come from light calls
+HEDGE_TIME_LEFT = 3.0  # mean latencies left at which a stuck call is hedged: until then it may be answered
 BASE_EJECTION = 0.5  # s, the first ejection; it doubles each time, up to MAX_EJECTION
 MAX_EJECTION = 8.0  # s
-MAX_EJECTED_SHARE = 0.34  # of the pool, on soft evidence: if more look unhealthy, the cause lies elsewhere
+MAX_EJECTED_SHARE = 0.34  # of the pool, for slowness or errors; if more look unhealthy, none is the cause
 ALIVE_TIMEOUT = 1.0  # s since its last answer, of any kind, within which a server counts as alive
 DEAD_AFTER_FAILURES = 3  # connections broken or refused since that answer, after which it counts as dead
-FULL_AFTER_CONNECT_FAILURES = 2  # since a good connect, after which a live server is at its connection limit
+FULL_AFTER_CONNECT_FAILURES = 2  # failed connects in a row: a live server is then at its connection limit
 AT_LIMIT_TIME = 5.0  # s for which a server at its connection limit gets no further connection
-ERROR_EXCESS = 0.35  # error share above the pool's from which a server is at fault
-FAILURE_SHARE_WEIGHT = 0.3  # weight of the newest answer in the share of a class's calls that a server fails
-FAILURE_SHARE_DECAY_TIME = 5.0  # s, time constant of that share, so that the server is tried again
+ERROR_EXCESS = 0.35  # error or failure rate above the pool's mean from which a server is at fault
+FAILURE_RATE_WEIGHT = 0.3  # weight of the newest answer in a server's failure rate, from 0 to 1, for a class
+FAILURE_RATE_DECAY_TIME = 5.0  # s, time constant of that rate without answers: the server is tried again
 COLD_BUDGET_SHARE = 0.5  # of the allowed multiple of a cold server's capacity, for all instances together
-PEAK_RATE_DECAY_TIME = 60.0  # s, of the highest send rate per unit of weight: long against a slow start
-STALE_LIST_JITTER = 2.0  # s over which watches are renewed if servers contradict the list: all see it at once
-STALE_LIST_INTERVAL = 8.0  # s after a watch or a list in which an instance does not suspect a stale list
-MIN_IDLE_AGE = 0.2  # s; the loss of a connection that was used within it has other causes than idleness
+PEAK_RATE_DECAY_TIME = 60.0  # s, of the peak send rate per unit of weight: long compared to a slow start
+STALE_LIST_JITTER = 2.0  # s over which instances spread their new watches: all suspect the list at once
+STALE_LIST_INTERVAL = 8.0  # s after a watch or a list before a stale list is suspected and the watch renewed
+MIN_IDLE_AGE = 0.2  # s; a connection that was idle for less was lost for another reason than its idleness
 IDLE_SAFETY_FACTOR = 0.7  # share of the age at which an idle connection was lost that is still used
 IDLE_DOUBLING = 15.0  # s in which the maximum idle age doubles again
-HIGH_CONNECT_COST = 1.5  # mean latencies for a new connection, above which an old idle one is risked instead
+HIGH_CONNECT_COST = 1.5  # mean latencies for a new connection; above it any idle one is used, however old
 MIN_CONNECT_COST = 0.3  # mean latencies by which a server with an open connection is preferred at least
 CONNECT_COST_SAMPLES = 30  # attempts over which new and open connections are compared
 LIST_WAIT_SHARE = 0.4  # share of a call's time for which it waits for a list with a valid lease
@@ -118,70 +111,39 @@
     """One attempt of a call on one server."""
 
     __slots__ = (
-        "call",
-        "cell",
-        "charged_to_server",
-        "has_slot",
-        "hedged",
-        "idle_time",
-        "load",
-        "number",
-        "opened",
-        "over_target",
-        "sent_at",
-        "server",
-        "stalled_connection",
-        "status",
-        "zone",
-    )
+        "call", "cell", "charged_to_server", "connection_stalled", "has_slot", "hedged", "idle_time", "load",
+        "number", "opened", "over_target", "sent_at", "server", "status", "zone",
+    )  # fmt: skip
 
     def __init__(self, call: Call, number: int, server: Server, sent_at: float, load: float) -> None:
         """`load`: the estimated number of calls on the server when this attempt was sent."""
         self.call, self.number, self.server, self.sent_at, self.load = call, number, server, sent_at, load
         self.zone, self.cell = server.zone, server.cell  # copied: a later list may move the server
         self.status = -1  # in flight; later a Status
-        self.has_slot = True  # counts toward the concurrency limit
-        self.over_target = False  # has been reported to admission control as late
+        self.has_slot = True  # counts against the concurrency limit, in Balancer.busy
+        self.over_target = False  # its age has passed the target latency, which has lowered the limit
         self.idle_time = 0.0  # s for which the connection had not been used; 0: in use or new
         self.opened = False  # the connection was opened for this attempt
-        self.charged_to_server = False  # has been counted against its server
+        self.charged_to_server = False  # has been counted in its server's slow_streak
         self.hedged = False
-        self.stalled_connection = False  # long overtaken: its connection is at fault, not its server
+        self.connection_stalled = False  # its connection is at fault, not its server
 
 
 class Call:
     """A request in progress, with its attempts. Calls sort by utility, highest first, then by arrival."""
 
     __slots__ = (
-        "arrived_at",
-        "attempts",
-        "cls",
-        "deadline",
-        "ended",
-        "id",
-        "in_flight",
-        "probe_end",
-        "probed_candidates",
-        "queued",
-        "sort_key",
-        "streaming",
-        "useful_until",
-        "utility",
-    )
+        "arrived_at", "attempts", "cls", "deadline", "ended", "id", "in_flight", "probe_end",
+        "probed_candidates", "queued", "sort_key", "streaming", "useful_until", "utility",
+    )  # fmt: skip
 
     def __init__(
-        self,
-        id: int,
-        cls: ClassState,
-        utility: float,
-        arrived_at: float,
-        deadline: float,
-        useful_until: float,
+        self, id: int, cls: ClassState, utility: float, arrived: float, deadline: float, useful_until: float
     ) -> None:
         """`useful_until`: when an answer loses its utility, at the latest at the deadline."""
-        self.id, self.cls, self.utility, self.arrived_at = id, cls, utility, arrived_at
+        self.id, self.cls, self.utility, self.arrived_at = id, cls, utility, arrived
         self.deadline, self.useful_until = deadline, useful_until
-        self.sort_key = (-utility, arrived_at, id)
+        self.sort_key = (-utility, arrived, id)
         self.attempts: list[Attempt] = []
         self.in_flight = 0  # attempts without an outcome
         self.ended = self.streaming = self.queued = False
@@ -199,9 +161,7 @@
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         self.settings = settings
         self.list_lease = ListLease(settings.notified_after)
-        self.health_leases = HealthLeases(
-            confirmed=not settings.ask_for_list, checks_allowed=settings.may_probe
-        )
+        self.health_leases = HealthLeases(confirmed=not settings.ask_for_list, may_check=settings.may_probe)
         self.actions = actions  # sends and answers are appended to it
         self.calls: dict[int, Call] = {}
         self.ended_ids: dict[int, None] = {}  # ids of the latest ended calls, oldest first
@@ -334,7 +294,7 @@
         self.ejections = 0  # in a row, which set the length of the next one
         self.on_probation = False  # readmitted after an ejection: one call at a time until one succeeds
         self.last_ok = 0.0  # when its last successful answer to a call came
-        self.probe_out = False
+        self.probing = False
         self.probed_at = -math.inf
         self.reset_statistics()
 
@@ -350,8 +310,8 @@
         self.broken_connections = 0  # connections broken or refused since that answer
         self.newest_served_sent_at = -math.inf  # when the newest of the calls that it has served was sent
         self.load_sum = self.latency_sum = 0.0  # decaying sums over the capacity samples
-        self.error_share = 0.0  # moving average
-        self.failure_shares: dict[str, tuple[float, float]] = {}  # by class: share of failures, as of when
+        self.error_rate = 0.0  # moving average
+        self.failure_rates: dict[str, tuple[float, float]] = {}  # by class: failure rate, as of when
         self.smoothed_load = self.reported_load = 0.0  # calls: moving average of the reports; the last report
         self.reported_at = -math.inf
         self.net_sends_since_report = 0  # own sends minus own answers
@@ -373,16 +333,14 @@
         self.pool: list[Server] = []
         self.mean_load = RunningMean(1.0)
         self.zone_load: dict[str, RunningMean] = {}  # reported calls per unit of weight
-        self.error_share = RunningMean(0.0)
+        self.error_rate = RunningMean(0.0)
         self.send_rate = self.peak_rate = 0.0  # attempts per s; their peak per s and unit of weight
         self.pool_weight = 0.0  # weight of the pool, smoothed
         self.mean_latency = 0.1  # s, of a call
         self.latency_objective = max(cls.aim for cls in settings.classes)  # s
         self.max_idle_age = settings.conn_idle  # s without use after which a connection is not relied on
-        self.open_latency, self.new_latency = (
-            RunningMean(1.0),
-            RunningMean(1.0),
-        )  # by connection, in mean latencies
+        # Latency of attempts on open and on new connections, in mean latencies of their class.
+        self.open_latency, self.new_latency = RunningMean(1.0), RunningMean(1.0)
 
     def apply_list(self, event: ServerList, now: float) -> None:
         """Updates the known servers and the pool from a list; a failed one changes nothing."""
@@ -494,7 +452,7 @@
 
     def load(self, server: Server, now: float) -> float:
         """Estimated number of calls on a server. What is unknown or outdated is taken from its zone's mean:
-        where calls and so reports are few, servers that were not probed would look idle and get crowded.
+        where calls and so reports are few, servers that were not probed would look idle and be overloaded.
         Cost: one busy server makes its unprobed neighbours look busy too."""
         decay_time = 2 * self.mean_latency + TICK
         zone = self.zone_load.get(server.zone)
@@ -508,22 +466,22 @@
             load += (server.reported_load - expected) * math.exp((server.reported_at - now) / decay_time)
         return max(load, server.in_flight)
 
-    def record_failure_share(self, server: Server, cls: ClassState, failed: bool, now: float) -> None:
-        """Adds the newest answer to the share of a class's calls that a server fails."""
-        share = self.failure_share(server, cls, now)
-        server.failure_shares[cls.name] = share + (failed - share) * FAILURE_SHARE_WEIGHT, now
+    def record_failure_rate(self, server: Server, cls: ClassState, failed: bool, now: float) -> None:
+        """Adds the newest answer to a server's failure rate for a class."""
+        rate = self.failure_rate(server, cls, now)
+        server.failure_rates[cls.name] = rate + (failed - rate) * FAILURE_RATE_WEIGHT, now
 
-    def failure_share(self, server: Server, cls: ClassState, now: float) -> float:
-        """Share of a class's calls that a server fails; it decays while there are no answers."""
-        share, at = server.failure_shares.get(cls.name, (0.0, now))
-        return share * math.exp((at - now) / FAILURE_SHARE_DECAY_TIME)
+    def failure_rate(self, server: Server, cls: ClassState, now: float) -> float:
+        """Share of a class's calls that a server fails, from 0 to 1; it decays while there are no answers."""
+        rate, at = server.failure_rates.get(cls.name, (0.0, now))
+        return rate * math.exp((at - now) / FAILURE_RATE_DECAY_TIME)
 
-    def pool_failure_share(self, cls: ClassState, now: float) -> float:
-        """Mean failure share of the pool for a class. A server that rejects or fails one kind of request (bad
+    def pool_failure_rate(self, cls: ClassState, now: float) -> float:
+        """Mean failure rate of the pool for a class. A server that rejects or fails a class of requests (bad
         version, a limit, its own data store down), at once or slowly, may serve other classes well and so
-        look idle and fast: its excess over this mean keeps calls away. What all servers fail counts against
-        none. Cost: under overload, chance makes some servers look worse."""
-        return sum(self.failure_share(server, cls, now) for server in self.pool) / max(1, len(self.pool))
+        look idle and fast, so servers with a rate above this mean are picked less. What all servers fail
+        counts against none. Cost: under overload, chance makes some servers look worse."""
+        return sum(self.failure_rate(server, cls, now) for server in self.pool) / max(1, len(self.pool))
 
     def pick(self, call: Call, safety_rules: SafetyRules, now: float) -> tuple[Server, float] | None:
         """The cheapest server that may take an attempt of the call, and its load; None if there is none. The
@@ -536,7 +494,7 @@
         connect_cost = self.connect_cost
         zone = self.settings.zone
         prior = PRIOR_COUNT * self.mean_load.value / mean_weight
-        pool_share = self.pool_failure_share(call.cls, now)
+        pool_rate = self.pool_failure_rate(call.cls, now)
         for server in self.pool:
             if not self.usable(server, now):
                 continue
@@ -550,7 +508,7 @@
                 cost += connect_cost
             if server.id in tried:
                 cost += MAX_LATENCY_RATIO
-            cost += MAX_LATENCY_RATIO * max(0.0, self.failure_share(server, call.cls, now) - pool_share)
+            cost += MAX_LATENCY_RATIO * max(0.0, self.failure_rate(server, call.cls, now) - pool_rate)
             cost *= 1 + 0.01 * self.random.random()
             if cost < best_cost and safety_rules.may_send(call, server, now):
                 best, best_cost, best_load = server, cost, load
@@ -578,15 +536,15 @@
     @property
     def connect_cost(self) -> float:
         """Mean latencies that a new connection adds, as measured; with few samples it errs by a few tenths.
-        Keeps calls on open connections where handshakes are slow, whatever the cause. Cost: they crowd fewer
-        servers, so it is only added to the cost of the load."""
+        Keeps calls on open connections where handshakes are slow, whatever the cause. Cost: fewer servers get
+        the calls, so this is only added to the cost of the load."""
         return max(MIN_CONNECT_COST, self.new_latency.value - self.open_latency.value)
 
     def detect_idle_drop(self, attempt: Attempt, reset: bool) -> bool:
         """Whether an attempt failed because its idle connection had been dropped unnoticed on the way, and so
-        was reset at once (`reset`) or never answered. The connection is at fault then: the server stays, and
-        connections of that age are closed before use. Cost: if the server was at fault after all, it gets one
-        more call, and some good connections are opened anew."""
+        was reset at once (`reset`) or never answered. Then the connection is at fault: the server is not
+        ejected, and connections of that age are closed before use. Cost: if the server was at fault after
+        all, it gets one more call, and some good connections are replaced."""
         if attempt.idle_time < MIN_IDLE_AGE or (not reset and attempt.server.last_ok >= attempt.sent_at):
             return False  # not idle for long, or just a slow call: the server has answered others since
         self.lower_max_idle_age(attempt.idle_time)
@@ -594,17 +552,17 @@
 
     def lower_max_idle_age(self, idle_time: float) -> None:
         """Learns from a connection that was lost after `idle_time` s without use. Where idle connections are
-        closed at some age, a call sent at about that age fails. A close seen while idle reveals the age at no
-        call's cost; one sooner than MIN_IDLE_AGE has other causes than idleness."""
+        closed at some age, a call sent at about that age fails. A close that is seen while no call uses the
+        connection reveals that age without a failed call."""
         if idle_time >= MIN_IDLE_AGE:
             self.max_idle_age = max(MIN_IDLE_AGE, min(self.max_idle_age, IDLE_SAFETY_FACTOR * idle_time))
 
     def alive(self, server: Server, now: float) -> bool:
-        """Whether a server has answered so recently that a broken connection is no sign against it. Resets
-        hit connections one by one (a network that drops them, a middlebox, a worker or listener that restarts
-        behind the address): taken for dead servers they emptied the pool, although all that was sent was
-        answered. A process that died breaks several at once and answers none: it is ejected at the third.
-        Cost: one that dies with few calls in flight gets up to two more, which are refused at once."""
+        """Whether a server has answered so recently that a broken connection does not mean that it is dead.
+        Resets hit connections one by one (a network that drops them, a middlebox, a worker or listener that
+        restarts behind the address): when each counted as a dead server, the pool became empty although all
+        requests were answered. A process that died breaks several at once and answers none: it is ejected at
+        the third. Cost: one that dies with few calls in flight gets up to two more, refused at once."""
         return now - server.last_answer_at < ALIVE_TIMEOUT and server.broken_connections < DEAD_AFTER_FAILURES
 
     # health
@@ -613,10 +571,10 @@
         server.last_answer_at, server.broken_connections = now, 0
 
     def eject(self, server: Server, now: float, hard: bool) -> bool:
-        """Takes a server out of use for a while, unless it is already; `hard`: on firm evidence."""
+        """Takes a server out of use for a while, unless it is already; `hard`: connections or probes fail."""
         if server.ejected_until:
             return False
-        # When everything is slow, no single server is at fault.
+        # If most servers are slow or fail, no single one is at fault.
         if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > MAX_EJECTED_SHARE * len(self.pool):
             return False
         length = min(MAX_EJECTION, BASE_EJECTION * 2**server.ejections)
@@ -629,7 +587,7 @@
         """Ends an ejection: the server is used again, on probation."""
         server.ejected_until = 0.0
         server.on_probation = True
-        server.error_share = 0.0
+        server.error_rate = 0.0
         server.slow_streak = server.failed_probe_streak = 0
         server.net_sends_since_report = server.in_flight
 
@@ -677,7 +635,7 @@
         )
         self.now = 0.0
         self.last_step_at = -1.0
-        self.resumed_after_stall = False  # whether this batch comes after a pause of this process
+        self.resumed_after_stall = False  # whether this process was paused before this batch
         self.step_timer_set = False
         self.watch_active = not settings.ask_for_list
         self.next_watch_at = -1.0
@@ -686,7 +644,7 @@
         instances = settings.balancers * settings.stages
         phase = (settings.me + settings.stage / settings.stages) * GOLDEN_RATIO_CONJUGATE % 1.0
         self.backoff = Backoff(self.random, max_pause, instances, phase)
-        self.last_notified_at = 0.0  # the last list, or the start of a watch call
+        self.last_notified_at = 0.0  # when the last list came or the last watch was started
         self.recheck_list_at = math.inf  # when to replace an active watch; inf: no need
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
@@ -821,10 +779,10 @@
 
         In an inner tier the stated `budget` (s) is the useful time that the caller's instance had left, so
         the objective applies in full. In the first tier, a budget below the usual one means that the client's
-        total time is running out, and tells how long it has waited over its earlier tries. This prevents work
+        total time is running out, and shows how long it has waited over its earlier tries. This prevents work
         for answers that come too late. The usual budget is the median, not the maximum, since a few odd
         budgets would make every first try look late. Where clients mark their retries, a call without the
-        mark has not waited. Cost: a client that forgets the mark gets work that comes too late."""
+        mark is a first try. Cost: the answer to a client that omits the mark may come too late."""
         is_first_try = self.settings.clients_mark_retries and not is_retry
         # This also records the budget, so it is called for marked first tries too.
         usual_budget = cls.record_budget(budget)
@@ -937,16 +895,14 @@
                 server.last_ok = now
                 servers.record_answer(server, now)
             return
-        if attempt.stalled_connection and status == Status.TIMEOUT:
+        if attempt.connection_stalled and status == Status.TIMEOUT:
             return
         elapsed = max(elapsed, MIN_LATENCY)
         ok = status == Status.OK
-        server_at_fault = (
-            servers.failure_share(server, cls, now) > servers.pool_failure_share(cls, now) + ERROR_EXCESS
-        )
+        at_fault = servers.failure_rate(server, cls, now) > servers.pool_failure_rate(cls, now) + ERROR_EXCESS
         if ok or status in (Status.ERROR, Status.FULL):
             servers.record_answer(server, now)
-            servers.record_failure_share(server, cls, not ok, now)
+            servers.record_failure_rate(server, cls, not ok, now)
         connection_broken = status in (Status.CONNECT_FAILED, Status.RESET)
         server.broken_connections += connection_broken
         idle_connection_lost = status == Status.RESET and servers.detect_idle_drop(attempt, reset=True)
@@ -954,40 +910,37 @@
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
             cls.record_latency(elapsed)
-        # An error says nothing about how many calls the servers can hold: most errors come from a tier below,
-        # after a reset or a refusal there. When errors counted as overload, one failed call in eight kept the
+        # An error does not show how many calls the servers can take: most come from a tier below, after a
+        # reset or a refusal there. When errors counted as overload, one failed call in eight kept the
         # concurrency limit low although the servers were healthy.
         if ok and elapsed <= cls.target_latency:
             admission.on_within_target(in_flight_before)
-        elif status == Status.FULL and server_at_fault:
+        elif status == Status.FULL and at_fault:
             pass  # a fault of this server alone, no overload
-        elif connection_broken and attempt.over_target and not attempt.stalled_connection:
-            admission.window += (
-                admission.limit_step()
-            )  # its age lowered the limit, but the connection was at fault
+        elif connection_broken and attempt.over_target and not attempt.connection_stalled:
+            # Its age has lowered the concurrency limit, but its connection was at fault: undo that.
+            admission.window += admission.limit_step()
         elif status == Status.TIMEOUT and elapsed < cls.target_latency:
             pass  # it had less time than an answer may take, so it shows no overload
         elif not attempt.over_target and attempt.has_slot and (ok or status in (Status.TIMEOUT, Status.FULL)):
             admission.on_over_target()
         # The server's capacity is estimated from its load and the latency, in multiples of the class's mean.
-        relative_latency = elapsed / cls.mean_latency.value
+        latency_ratio = elapsed / cls.mean_latency.value
         if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean_latency.value):
-            total_latency = min(MAX_LATENCY_RATIO, relative_latency + (not ok))
-            (servers.new_latency if attempt.opened else servers.open_latency).add(
-                total_latency, CONNECT_COST_SAMPLES
-            )
+            ratio = min(MAX_LATENCY_RATIO, latency_ratio + (not ok))
+            (servers.new_latency if attempt.opened else servers.open_latency).add(ratio, CONNECT_COST_SAMPLES)
         if not ok:
             # A server that fails fast looks idle, so a failure counts as a slow answer.
-            relative_latency = MAX_LATENCY_RATIO
-        # A failure of the connection alone says nothing about the server's speed.
+            latency_ratio = MAX_LATENCY_RATIO
+        # A failure of the connection alone does not show the server's speed.
         if status not in (Status.FULL, Status.CONNECT_FAILED) and not only_connection_failed:
-            relative_latency = min(relative_latency, MAX_LATENCY_RATIO)
-            server.latency_sum = server.latency_sum * CAPACITY_SAMPLE_DECAY + relative_latency
+            latency_ratio = min(latency_ratio, MAX_LATENCY_RATIO)
+            server.latency_sum = server.latency_sum * CAPACITY_SAMPLE_DECAY + latency_ratio
             server.load_sum = server.load_sum * CAPACITY_SAMPLE_DECAY + attempt.load + 1
             servers.mean_load.add(attempt.load + 1, 100)
         failed = status in (Status.ERROR, Status.RESET)
-        server.error_share += (failed - server.error_share) * 0.2
-        servers.error_share.add(float(failed), 100)
+        server.error_rate += (failed - server.error_rate) * 0.2
+        servers.error_rate.add(float(failed), 100)
         if ok:
             server.last_ok = now
             server.newest_served_sent_at = max(server.newest_served_sent_at, attempt.sent_at)
@@ -1008,13 +961,13 @@
                 server.connect_failures += 1
                 if server.connect_failures >= FULL_AFTER_CONNECT_FAILURES:
                     server.call_limit, server.call_limit_until = max(1, server.in_flight), now + AT_LIMIT_TIME
-            failed = False  # without an answer there is no sign that the server fails its calls
+            failed = False  # without an answer it is unknown whether the server fails its calls
         elif status == Status.TIMEOUT:
             servers.detect_idle_drop(attempt, reset=False)
             server.slow_streak += 1
             if server.on_probation or (server.slow_streak >= 3 and server.last_ok < attempt.sent_at):
                 self.eject(server, hard=False)
-        if failed and (server.on_probation or server.error_share > servers.error_share.value + ERROR_EXCESS):
+        if failed and (server.on_probation or server.error_rate > servers.error_rate.value + ERROR_EXCESS):
             self.eject(server, hard=False)
 
     def eject(self, server: Server, hard: bool) -> None:
@@ -1034,7 +987,7 @@
         server = self.servers.known.get(event.server)
         if server is None:
             return
-        server.probe_out = False
+        server.probing = False
         if event.status == Status.OK:
             server.checked_at = server.probed_at
             self.servers.record_answer(server, self.now)
@@ -1059,28 +1012,24 @@
     def control_step(self) -> None:
         """Updates what depends on time: rates, quotas, token budgets, attempt ages, probes, the threshold."""
         now = self.now
-        interval = now - self.last_step_at
+        span = now - self.last_step_at
         self.last_step_at = now
         admission, servers = self.admission, self.servers
-        admission.observe_rate(self.arrivals_in_step, interval)
-        servers.send_rate += (self.sends_in_step / interval - servers.send_rate) * min(
-            1.0, interval / AVERAGING_TIME
-        )
+        admission.observe_rate(self.arrivals_in_step, span)
+        servers.send_rate += (self.sends_in_step / span - servers.send_rate) * min(1.0, span / AVERAGING_TIME)
         self.arrivals_in_step = self.sends_in_step = 0
         for name, quota in self.quota_per_s.items():
-            self.quota_tokens[name] = min(max(1.0, quota), self.quota_tokens[name] + quota * interval)
+            self.quota_tokens[name] = min(max(1.0, quota), self.quota_tokens[name] + quota * span)
         for cls in self.class_states.values():
-            cls.update_target(interval)
+            cls.update_target(span)
         self.start_watch_if_due()
         self.check_attempt_ages()
         if admission.mean_latency.count:
             servers.mean_latency = max(admission.mean_latency.value, 1e-3)
-        servers.refill_slow_start_tokens(now, interval)
-        servers.decay_capacity(interval)
-        servers.max_idle_age = min(
-            self.settings.conn_idle, servers.max_idle_age * (1 + interval / IDLE_DOUBLING)
-        )
-        self.send_due_probes(interval)
+        servers.refill_slow_start_tokens(now, span)
+        servers.decay_capacity(span)
+        servers.max_idle_age = min(self.settings.conn_idle, servers.max_idle_age * (1 + span / IDLE_DOUBLING))
+        self.send_due_probes(span)
         admission.update_threshold()
 
     def start_watch_if_due(self) -> None:
@@ -1094,9 +1043,9 @@
     def suspect_stale_list(self) -> None:
         """Schedules a new watch because a server that is ejected, but still listed, fails its probes.
 
-        If no list came for a while, the active watch may have hung or been lost unnoticed, or the list is
-        late; a new watch returns at once what was missed. Cost: where servers crash, each instance that sees
-        it makes one more call to discovery, spread over time and with a minimum interval."""
+        The active watch may hang or have been lost unnoticed, or the list is late; a new watch returns at
+        once what was missed. Cost: where servers crash, each instance that sees it makes one more call to
+        discovery, spread over time and with a minimum interval."""
         if self.settings.ask_for_list and self.watch_active and math.isinf(self.recheck_list_at):
             earliest = max(self.now, self.last_notified_at + STALE_LIST_INTERVAL)
             self.recheck_list_at = earliest + self.random.random() * STALE_LIST_JITTER
@@ -1120,62 +1069,57 @@
             if age > HEDGE_AGE * cls.mean_latency.value and not attempt.hedged:
                 stuck_attempts.append(attempt)
         self.admission.mean_age_in_flight = total_age / counted_attempts if counted_attempts else 0.0
-        for attempt in stuck_attempts:
-            server, cls = attempt.server, attempt.call.cls
+        for stuck in stuck_attempts:
+            server, cls = stuck.server, stuck.call.cls
             latency_known = cls.mean_latency.count > 0
-            if (
-                server.last_ok < attempt.sent_at
-                and not server.ejected_until
-                and not attempt.charged_to_server
-            ):
-                attempt.charged_to_server = True
+            if server.last_ok < stuck.sent_at and not server.ejected_until and not stuck.charged_to_server:
+                stuck.charged_to_server = True
                 server.slow_streak += 1
                 if server.slow_streak >= 2 or server.on_probation:
                     self.eject(server, hard=False)
             # Before its first answer an instance does not know how long the tiers below take, and the hedges
             # of instances that have all just started would multiply along a chain of tiers. Cost: the first
             # calls on a hung server stay there until they are over the target latency.
-            if latency_known or now - attempt.sent_at > cls.target_latency:
-                self.hedge(attempt)
+            if latency_known or now - stuck.sent_at > cls.target_latency:
+                self.hedge(stuck)
 
     def connection_seems_stalled(self, attempt: Attempt) -> bool:
         """Returns whether an attempt's server seems not to work on it, so that its connection has stalled.
 
-        It has answered a later attempt, or reports fewer calls than this instance alone has in flight there.
-        It is probed if its last report is too old to include this attempt."""
+        The server has answered a later attempt, or reports fewer calls than this instance alone has in flight
+        there. It is probed if its last report is too old to include this attempt."""
         server = attempt.server
-        if attempt.stalled_connection or server.newest_served_sent_at > attempt.sent_at:
+        if attempt.connection_stalled or server.newest_served_sent_at > attempt.sent_at:
             return True
-        recent_report = server.reported_at >= attempt.sent_at + MAX_REPORT_DELAY
-        probe_due = (
-            not recent_report and not server.probe_out and self.now >= server.probed_at + MAX_REPORT_DELAY
-        )
+        recent = server.reported_at >= attempt.sent_at + MAX_REPORT_DELAY
+        probe_due = not recent and not server.probing and self.now >= server.probed_at + MAX_REPORT_DELAY
         if probe_due and self.settings.may_probe and server.state is ServerState.SERVING:
             self.send_probe(server)
-        return recent_report and server.reported_load + 0.5 < server.in_flight - server.net_sends_since_report
+        return recent and server.reported_load + 0.5 < server.in_flight - server.net_sends_since_report
 
     def mark_connection_stalled(self, attempt: Attempt) -> None:
-        """Stops counting an attempt whose connection went silent: its server does not work on it.
+        """Stops counting an attempt whose connection has stalled: its server does not work on it.
 
         Otherwise such attempts would count against the concurrency limit until their deadline, and their
         waits, which are not work, would raise the latency estimate. Both made the instance refuse calls
         although servers were idle. Cost: a call that only takes long stops counting too early."""
-        if attempt.stalled_connection:
+        if attempt.connection_stalled:
             return
-        attempt.stalled_connection = True
+        attempt.connection_stalled = True
         if attempt.has_slot:
             attempt.has_slot = False
             self.busy -= 1
         if attempt.over_target:
-            self.admission.window += self.admission.limit_step()  # undo the decrease for its age: no overload
+            # Its age has lowered the concurrency limit, but it is no sign of overload: undo that.
+            self.admission.window += self.admission.limit_step()
 
     def hedge(self, attempt: Attempt) -> None:
         """Makes a further attempt for a call that seems stuck, where its class and the settings allow it.
 
         Most such calls are heavy: the work done so far goes on or is lost, and it is repeated, at each tier
         below too. So a hedge costs tokens in proportion to that work; otherwise heavy calls would overload
-        healthy servers by being executed twice. Cost: where many connections go silent, some calls wait on
-        them until their time is over."""
+        healthy servers by being executed twice. Cost: where many connections stall, some calls wait on them
+        until their time is over."""
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.in_flight > 1:
             return
@@ -1198,13 +1142,11 @@
 
     def renew_health_leases(self) -> None:
         """Sends due health checks, charged to later steady probes, since they bring load reports too."""
-        for server in self.health_leases.servers_to_check(
-            self.servers.pool, self.now, self.busy + len(self.queue)
-        ):
+        for server in self.health_leases.due_checks(self.servers.pool, self.now, self.busy + len(self.queue)):
             self.probe_tokens = max(-MAX_LEASE_PROBE_DEBT, self.probe_tokens - 1)
             self.send_probe(server)
 
-    def send_due_probes(self, interval: float) -> None:
+    def send_due_probes(self, span: float) -> None:
         """Sends health checks for leases, probes that may end ejections, and steady probes for load reports.
 
         Steady probes stop where calls probe their candidates. `interval`: s since the last control step."""
@@ -1213,13 +1155,13 @@
         now = self.now
         self.renew_health_leases()
         probe_rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.arrival_rate)
-        self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + probe_rate * interval))
+        self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + probe_rate * span))
         for server in self.servers.known.values():
-            probe_due = server.ejected_until and now >= server.ejected_until and not server.probe_out
+            probe_due = server.ejected_until and now >= server.ejected_until and not server.probing
             if probe_due and server.state is ServerState.SERVING:
                 self.send_probe(server)
         while self.probe_tokens >= 1 and not self.probes_before_send:
-            candidates = [s for s in self.servers.pool if not s.probe_out and not s.ejected_until]
+            candidates = [s for s in self.servers.pool if not s.probing and not s.ejected_until]
             if not candidates:
                 break
             self.probe_tokens -= 1
@@ -1235,13 +1177,10 @@
         if call.probed_candidates is None:
             call.probed_candidates = []
             servers = self.servers
-            probe_rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.arrival_rate)
+            rate = max(MIN_PROBE_RATE, PROBES_PER_CALL * self.admission.arrival_rate)
             if call.attempts or call.deadline - self.now < 3 * PRE_SEND_WAIT:
                 return False
-            if (
-                len(servers.pool) < probe_rate * servers.mean_latency
-                or servers.mean_latency < 2 * PRE_SEND_WAIT
-            ):
+            if len(servers.pool) < rate * servers.mean_latency or servers.mean_latency < 2 * PRE_SEND_WAIT:
                 return False
             usable = [s for s in servers.pool if servers.usable(s, self.now)]
             connected = [s for s in usable if servers.has_open_connection(s, self.now)]
@@ -1251,15 +1190,15 @@
                 others, min(PRE_SEND_PROBES - len(call.probed_candidates), len(others))
             )
             for server in call.probed_candidates:
-                if not server.probe_out:
+                if not server.probing:
                     self.send_probe(server)
             call.probe_end = self.now + PRE_SEND_WAIT
             self.actions.append(SetTimer(PRE_SEND_WAIT, PRE_SEND_TOKEN))
-        return self.now < call.probe_end - 1e-9 and any(server.probe_out for server in call.probed_candidates)
+        return self.now < call.probe_end - 1e-9 and any(server.probing for server in call.probed_candidates)
 
     def send_probe(self, server: Server) -> None:
         """Probes a server. A random shift of up to 1 ms varies the order of servers probed at once."""
-        server.probe_out = True
+        server.probing = True
         server.probed_at = self.now + self.random.random() * 1e-3
         self.actions.append(Probe(server.id))
 
--- a/granitepoint/membership/health_checks.py
+++ b/granitepoint/membership/health_checks.py
@@ -32,7 +32,7 @@
     state: ServerState
     checked_at: float  # when the last passed health check was sent; -inf: none, or one has failed since
     probed_at: float  # when the last health check was sent
-    probe_out: bool
+    probing: bool
     used_at: float
     ejected_until: float  # 0: not ejected
 
@@ -46,10 +46,10 @@
     Times are in seconds, on the clock of the events.
     """
 
-    def __init__(self, confirmed: bool, checks_allowed: bool) -> None:
+    def __init__(self, confirmed: bool, may_check: bool) -> None:
         """`confirmed`: changes are told from the start. `checks_allowed`: health checks are allowed;
         otherwise nothing could renew a lease, so none is needed and the list is used as it is."""
-        self.checks_allowed = checks_allowed
+        self.may_check = may_check
         # A new process does not know the age of the list that it was started with.
         self.unconfirmed_since = math.inf if confirmed else -math.inf
         self.cutoff_at = math.inf  # from then on no earlier health check counts
@@ -74,7 +74,7 @@
 
     def required(self, now: float) -> bool:
         """Whether a server needs a lease of its own, because the list is not confirmed any more."""
-        return self.checks_allowed and (
+        return self.may_check and (
             now - self.unconfirmed_since > LEASE_DURATION or now >= self.cutoff_at
         )
 
@@ -87,7 +87,7 @@
             return now - server.checked_at <= LEASE_DURATION
         return now - server.checked_at <= NOTIFIED_LEASE_DURATION and server.checked_at >= self.cutoff_at
 
-    def servers_to_check(
+    def due_checks(
         self, pool: Sequence[AnyLeasedServer], now: float, calls: int
     ) -> list[AnyLeasedServer]:
         """The servers to send a health check to now, so that there are as many leases as open `calls`.
@@ -103,12 +103,12 @@
         others = [s for s in usable if not self._has_lease(s, now)]
         leased.sort(key=lambda server: -server.used_at)
         others.sort(key=lambda server: server.probed_at)
-        missing = max(0, wanted - len(leased) - sum(server.probe_out for server in others))
+        missing = max(0, wanted - len(leased) - sum(server.probing for server in others))
         to_renew = [s for s in leased[:wanted] if now - s.checked_at >= RENEW_AFTER]
-        to_try = [s for s in others if not s.probe_out][:missing]
-        return [s for s in (*to_renew, *to_try) if not s.probe_out and self._may_check(s, now)]
+        to_try = [s for s in others if not s.probing][:missing]
+        return [s for s in (*to_renew, *to_try) if not s.probing and self._past_retry_interval(s, now)]
 
     @staticmethod
-    def _may_check(server: LeasedServer, now: float) -> bool:
+    def _past_retry_interval(server: LeasedServer, now: float) -> bool:
         passed_last = server.checked_at == server.probed_at
         return passed_last or now - server.probed_at >= CHECK_RETRY_INTERVAL
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -39,7 +39,7 @@
 from granitepoint.logic import (
     AT_LIMIT_TIME,
     CAPACITY_DECAY_TIME,
-    FAILURE_SHARE_DECAY_TIME,
+    FAILURE_RATE_DECAY_TIME,
     NEVER_RAN_RETRY_COST,
 )
 from granitepoint.membership.backoff import MAX_PAUSE, OVERLOADED
@@ -798,7 +798,7 @@
         assert bool(other.ejected_until) == (broken >= 3)
 
 
-def test_the_failure_share_of_a_server_is_kept_by_class_and_fades() -> None:
+def test_the_failure_rate_of_a_server_is_kept_by_class_and_decays() -> None:
     # Seen on wide+reset+stale days of central-santiago: servers refused one class, after 354 ms each time.
     driver = Driver(settings(), servers=entries(1, 2))
     servers = driver.balancer.servers
@@ -806,11 +806,11 @@
     send = only_send(driver.arrive(1, "once"))
     driver.finish(send, Status.FULL, elapsed=0.354, final=True)
     failed = servers.known[send.server]
-    assert servers.failure_share(failed, once, driver.now) == pytest.approx(0.3)
-    assert servers.failure_share(failed, safe, driver.now) == 0.0
-    assert servers.pool_failure_share(once, driver.now) == pytest.approx(0.15)
+    assert servers.failure_rate(failed, once, driver.now) == pytest.approx(0.3)
+    assert servers.failure_rate(failed, safe, driver.now) == 0.0
+    assert servers.pool_failure_rate(once, driver.now) == pytest.approx(0.15)
     assert all(only_send(driver.arrive(call, "once")).server != failed.id for call in (2, 3))
-    faded = servers.failure_share(failed, once, driver.now + FAILURE_SHARE_DECAY_TIME)
+    faded = servers.failure_rate(failed, once, driver.now + FAILURE_RATE_DECAY_TIME)
     assert faded == pytest.approx(0.3 / 2.71828, rel=1e-3)
 
 
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -81,7 +81,7 @@
 class ProbesAlways(Balancer):
     def send_due_probes(self, interval: float) -> None:
         for server in self.servers.pool:
-            if not server.probe_out:
+            if not server.probing:
                 self.send_probe(server)
 
 
