--- a/granitepoint/admission.py
+++ b/granitepoint/admission.py
@@ -4,6 +4,9 @@
 Answers over the target lower the concurrency limit, answers within it raise it. If more calls arrive than the
 limit supports, those of the lowest utility are refused.
 
+The limit is adapted like a congestion window: it counts the attempts that may be in flight at once, rises in
+small steps and falls when answers are late. `Admission.window` is this limit.
+
 All times are in seconds. There is no I/O and no clock here; random numbers come from the given generator.
 """
 
@@ -18,8 +21,8 @@
 # s, averaging time of the arrival rate and the latency: long compared to a call, short compared to an outage
 AVERAGING_TIME = 2.0
 MIN_SAMPLES = 10  # calls; with fewer in the latency or the recent utilities nothing is refused
-MAX_RECENT_UTILITIES = 300  # the utility threshold then has an error of about 3 percentage points
-MAX_RECENT_BUDGETS = 64  # time budgets of a class that are kept for their median
+MAX_RECENT_UTILITIES = 300  # calls; the utility threshold then has an error of about 3 percentage points
+MAX_RECENT_BUDGETS = 64  # calls of a class whose time budgets are kept, for their median
 # Of the latency objective: the time in which all but OVER_TARGET_FRACTION of the answers should come.
 TARGET_FRACTION = 0.35
 # Of the concurrency limit: up to here no call is refused for its utility, and beyond it the limit may grow.
@@ -130,16 +133,19 @@
         self.arrival_rate = 0.0  # calls per second
         self.rate_span = 0.0  # time over which the arrival rate has been averaged so far
         self.recent_utilities: deque[float] = deque(maxlen=MAX_RECENT_UTILITIES)
-        self.window = INITIAL_CONCURRENCY_LIMIT
-        self.min_concurrency_limit = MIN_CONCURRENCY_LIMIT
+        self.window = INITIAL_CONCURRENCY_LIMIT  # calls; the concurrency limit
+        self.min_concurrency_limit = MIN_CONCURRENCY_LIMIT  # calls
         # As in TCP's slow start, the limit doubles per round trip until the first answer over its target.
         self.limit_doubles = True
+        # Calls of a lower utility are refused, and those at the threshold with this probability.
         self.utility_threshold, self.tie_reject_probability = -math.inf, 0.0
 
     @property
     def latency_estimate(self) -> float:
-        """The expected latency of a call."""
-        # A hung server finishes no calls, so the age of the calls in flight counts too.
+        """The expected latency of a call.
+
+        A hung server finishes no calls, so the age of the calls in flight counts too.
+        """
         return max(self.mean_latency.value, 0.5 * self.mean_age_in_flight)
 
     def observe_rate(self, arrivals: int, span: float) -> None:
@@ -169,7 +175,7 @@
     def on_within_target(self, busy: float) -> None:
         """Raises the limit for an answer within its target, but only if the limit is nearly used up.
 
-        `busy`: the number of calls in flight.
+        `busy`: the attempts that counted against the limit before this answer.
         """
         if busy + 1 >= UNRESTRICTED_FRACTION * self.window:
             self.window += (
@@ -184,7 +190,7 @@
         self.window = max(self.min_concurrency_limit, self.window - self.limit_step())
 
     def drop(self) -> float:
-        """The fraction of the arriving calls that exceeds the supported throughput, from 0 to 1."""
+        """The fraction of the arriving calls to refuse, from 0 to 1: what exceeds the supported rate."""
         if (
             self.mean_latency.count < MIN_SAMPLES
             or len(self.recent_utilities) < MIN_SAMPLES
@@ -197,9 +203,9 @@
         return max(0.0, 1 - supported_rate / self.arrival_rate)
 
     def update_threshold(self) -> None:
-        """Sets the utility threshold so that the fraction `drop()` of the recent calls lie below it."""
-        target = self.drop()
-        if target <= 0:
+        """Sets the utility threshold so that the fraction `drop()` of the recent calls would be refused."""
+        to_refuse = self.drop()
+        if to_refuse <= 0:
             self.utility_threshold, self.tie_reject_probability = -math.inf, 0.0
             return
         count = len(self.recent_utilities)
@@ -209,9 +215,9 @@
             counts[utility] = counts.get(utility, 0) + 1
         for utility in sorted(counts):
             fraction = counts[utility] / count
-            if below + fraction >= target - 1e-12:
+            if below + fraction >= to_refuse - 1e-12:
                 # Many calls have the same utility: of those at the threshold a random part is refused.
-                self.utility_threshold, self.tie_reject_probability = utility, (target - below) / fraction
+                self.utility_threshold, self.tie_reject_probability = utility, (to_refuse - below) / fraction
                 return
             below += fraction
 
--- a/granitepoint/interface.py
+++ b/granitepoint/interface.py
@@ -56,8 +56,8 @@
 
 # The upper bound of every integer setting. Values computed from it must still fit into a float.
 MAX_COUNT = 1 << 31
-# The integer settings, each with its lower bound.
-COUNTS = {
+# The lower bounds of the integer settings.
+MIN_COUNTS = {
     "balancers": 1, "me": 0, "stage": 0, "stages": 1, "max_attempts": 1, "most_held": 0,
     "calls_per_connection": 1,
 }  # fmt: skip
@@ -184,7 +184,7 @@
     def __post_init__(self) -> None:
         """Checks the ranges of all values."""
         _require(bool(self.classes), "classes", self.classes)
-        for key, minimum in COUNTS.items():
+        for key, minimum in MIN_COUNTS.items():
             _require(minimum <= getattr(self, key) <= MAX_COUNT, key, getattr(self, key))
         _require(0 < self.cold_from <= 1, "cold_from", self.cold_from)
         _require(0 <= self.over_share_worth <= 1, "over_share_worth", self.over_share_worth)
@@ -252,7 +252,7 @@
 class WatchLost:
     """The watch of discovery failed, became silent or moved. Changes may be missed until the next list."""
 
-    notified_within: float = math.inf  # after this time, from now on, every change counts as known at once
+    notified_within: float = math.inf  # time from now until the instance counts as notified of every change
     moved: bool = False  # discovery has a new address
     silent: bool = False  # the watch stays open, and another call is made in parallel
 
@@ -379,8 +379,8 @@
     call: int
     server: int
     timeout: float
-    trust: float = math.inf  # a connection that has been idle for longer is closed instead of used
-    within: float = math.inf  # send the last byte within this time: later, it might run twice
+    trust: float = math.inf  # the largest idle age of a connection that may be used; an older one is closed
+    within: float = math.inf  # the time within which the last byte has to be sent: later it might run twice
 
 
 @dataclass(slots=True)
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -1043,9 +1043,9 @@
     def suspect_stale_list(self) -> None:
         """Schedules a new watch because a server that is ejected, but still listed, fails its probes.
 
-        The active watch may hang or have been lost unnoticed, or the list is late; a new watch returns at
-        once what was missed. Cost: where servers crash, each instance that sees it makes one more call to
-        discovery, spread over time and with a minimum interval."""
+        If no list came for a while, the active watch may hang or have been lost unnoticed, or the list is
+        late; a new watch returns at once what was missed. Cost: where servers crash, each instance that sees
+        it makes one more call to discovery, spread over time and no more than one in STALE_LIST_INTERVAL."""
         if self.settings.ask_for_list and self.watch_active and math.isinf(self.recheck_list_at):
             earliest = max(self.now, self.last_notified_at + STALE_LIST_INTERVAL)
             self.recheck_list_at = earliest + self.random.random() * STALE_LIST_JITTER
--- a/granitepoint/membership/backoff.py
+++ b/granitepoint/membership/backoff.py
@@ -1,4 +1,4 @@
-"""The pause after a failed call to a service that many instances ask at once, by the kind of failure.
+"""The pause after a failed call to a service that many instances call at once, by the kind of failure.
 
 If calls were queued at the service, all instances together may send more calls than it can answer. So the
 calls are spread over rounds. All instances that lose the service at the same moment start their rounds there,
@@ -65,9 +65,9 @@
     def __init__(
         self, random: Random, max_pause: float = MAX_PAUSE, instances: int = 1, phase: float = 0.0
     ) -> None:
-        """`instances`: how many instances ask the same service. `phase`: the place of this instance in a
-        round, from 0 to 1. A random part of 1/`instances` is added, so that two instances with the same
-        number do not call at the same time."""
+        """`instances`: how many instances call the same service. `phase`: the phase of this instance in a
+        round, from 0 to 1. A random fraction of 1/`instances` is added, so that two instances with the same
+        phase do not call at the same time."""
         self.random, self.max_pause, self.instances = random, max_pause, instances
         self.phase = (phase + random.random() / instances) % 1.0
         self.failures = 0  # in a row, of calls that reached the service
--- a/granitepoint/membership/evidence.py
+++ b/granitepoint/membership/evidence.py
@@ -1,6 +1,6 @@
 """Classifies how a call to discovery failed, by what the failure proves.
 
-The question for each kind is: could discovery have told a change to some instance at that moment? A list
+The question for each kind is: could discovery have sent a change to some instance at that moment? A list
 settles the question, and so does a refused connection: nobody listened. A 503 does not, however soon it came:
 an overloaded discovery rejects some calls at once while it answers others, and one that queues its calls
 sends the same 503 after the wait.
@@ -20,11 +20,11 @@
 class Failure(Enum):
     """How a call to discovery failed."""
 
-    REFUSED = "refused"  # the connection was refused: nobody can be told of a change at that moment
-    WATCH_LOST = "watch lost"  # a watch that discovery held ended; every change up to then has been told
-    WATCH_CUT = "watch cut"  # the same soon after the watch began: it may have had a change to tell
+    REFUSED = "refused"  # the connection was refused: nobody can get a change at that moment
+    WATCH_LOST = "watch lost"  # a watch that discovery held ended; every change up to then has been received
+    WATCH_CUT = "watch cut"  # the same soon after the watch started: discovery may have had a change to send
     IMMEDIATE = "at once"  # rejected or reset without a wait
-    WAITED = "waited"  # discovery accepted the call and queued it; it may have told changes to others
+    WAITED = "waited"  # discovery accepted the call and queued it; it may have sent changes to others
     SILENT = "silent"  # no answer before the timeout
     LOCAL_ERROR = "own fault"  # this machine could not make the call; this proves nothing about discovery
 
--- a/granitepoint/membership/health_checks.py
+++ b/granitepoint/membership/health_checks.py
@@ -1,6 +1,6 @@
 """Leases on servers: which listed servers are used while nothing confirms the list.
 
-A list is confirmed while a watch of discovery is open, since every change is told on the watch. From the
+A list is confirmed while a watch of discovery is open, since every change is sent on the watch. From the
 moment at which the watch ends, fails or becomes silent, a server may begin to drain without notice. Each
 server then holds a lease that is counted from that moment, and each health check that it passes renews it. A
 server without a valid lease gets no attempt.
@@ -17,7 +17,9 @@
 
 from granitepoint.interface import ServerState
 
-LEASE_DURATION = 5.5  # s; an instance counts as notified of a change 6 s after it, whether it was told or not
+LEASE_DURATION = (
+    5.5  # s; an instance counts as notified of a change after 6 s, even if it has not received it
+)
 # s, the same from the moment at which the instance counts as notified of every change at once.
 NOTIFIED_LEASE_DURATION = 1.0
 CUTOFF_MARGIN = 0.1  # s before that moment at which all earlier leases end
@@ -32,8 +34,8 @@
     state: ServerState
     checked_at: float  # when the last passed health check was sent; -inf: none, or one has failed since
     probed_at: float  # when the last health check was sent
-    probing: bool
-    used_at: float
+    probing: bool  # a health check is in flight
+    used_at: float  # when the last attempt was sent or answered
     ejected_until: float  # 0: not ejected
 
 
@@ -47,7 +49,7 @@
     """
 
     def __init__(self, confirmed: bool, may_check: bool) -> None:
-        """`confirmed`: changes are told from the start. `checks_allowed`: health checks are allowed;
+        """`confirmed`: changes are received from the start. `may_check`: health checks are allowed;
         otherwise nothing could renew a lease, so none is needed and the list is used as it is."""
         self.may_check = may_check
         # A new process does not know the age of the list that it was started with.
@@ -69,14 +71,12 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether a watch is open, so that changes are told."""
+        """Whether a watch is open, so that changes are received."""
         return self.unconfirmed_since == math.inf
 
     def required(self, now: float) -> bool:
         """Whether a server needs a lease of its own, because the list is not confirmed any more."""
-        return self.may_check and (
-            now - self.unconfirmed_since > LEASE_DURATION or now >= self.cutoff_at
-        )
+        return self.may_check and (now - self.unconfirmed_since > LEASE_DURATION or now >= self.cutoff_at)
 
     def valid(self, server: LeasedServer, now: float) -> bool:
         """Whether attempts may be sent to a server."""
@@ -87,9 +87,7 @@
             return now - server.checked_at <= LEASE_DURATION
         return now - server.checked_at <= NOTIFIED_LEASE_DURATION and server.checked_at >= self.cutoff_at
 
-    def due_checks(
-        self, pool: Sequence[AnyLeasedServer], now: float, calls: int
-    ) -> list[AnyLeasedServer]:
+    def due_checks(self, pool: Sequence[AnyLeasedServer], now: float, calls: int) -> list[AnyLeasedServer]:
         """The servers to send a health check to now, so that there are as many leases as open `calls`.
 
         Leases of the servers that were used last are renewed. If there are too few leases, the other servers
--- a/granitepoint/membership/list_lease.py
+++ b/granitepoint/membership/list_lease.py
@@ -28,7 +28,7 @@
 
     def __init__(self, notified_after: float, confirmed: bool = False) -> None:
         """`notified_after`: the time after a change until the proxy counts as notified of it; 0 if lists are
-        pushed, infinite if there is no such time. `confirmed`: changes are told without a call for them."""
+        pushed, infinite if there is no such time. `confirmed`: changes are received without a call."""
         self.notified_after = notified_after
         self.confirmed = confirmed
         # Every change up to this time has been received. A new process knows of no such time.
--- a/granitepoint/membership/start_times.py
+++ b/granitepoint/membership/start_times.py
@@ -34,9 +34,8 @@
     """The starts that lists have named. Times are in seconds."""
 
     def __init__(self) -> None:
-        self.min_clock_offset = (
-            -math.inf
-        )  # the clock of the lists is at least this far ahead of the local one
+        # By how much the clock of the lists is at least ahead of the local one, as far as known.
+        self.min_clock_offset = -math.inf
         self.starts: dict[str, ServerStart] = {}
 
     def to_local_times(self, listed_times: Mapping[str, float], now: float) -> dict[str, float]:
--- a/granitepoint/membership/version_history.py
+++ b/granitepoint/membership/version_history.py
@@ -3,7 +3,7 @@
 Discovery is one service. So after a change of its address a proxy asks only for the changes since the list
 that it has. This costs discovery a fraction of a whole list, which all proxies would request at the same
 time. But a service with a history of its own would leave the old list in place. So the proxy requests the
-last change once more, and the answer has to contain it. If no change has been told yet there is nothing to
+last change once more, and the answer has to contain it. If no change has been sent yet there is nothing to
 compare, and the proxy requests the whole list later.
 """
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """The last change that discovery told: the version before it, and the ids of the servers in it."""
+    """The last change that discovery sent: the version before it, and the ids of the servers in it."""
 
     base_version: int
     servers: frozenset[int]
@@ -32,7 +32,7 @@
 
     @property
     def request_from(self) -> int:
-        """The version since which a new address is asked for changes."""
+        """The version since which changes are requested from a new address."""
         return self.version if self.last_change is None else self.last_change.base_version
 
     @property
@@ -55,7 +55,10 @@
         self.version = version
 
     def is_continued_by(self, version: int, servers: Collection[int]) -> bool:
-        """Whether the changes that a new address told since `request_from` can belong to this history."""
+        """Whether the changes since `request_from` that a new address sent can belong to this history.
+
+        `version` and `servers`: the version of its answer, and the ids of the servers in it.
+        """
         if version < self.version:
             return False
         return self.last_change is None or self.last_change.servers <= set(servers)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -49,6 +49,7 @@
 def make_admission(
     concurrency_limit: float, latency: float, rate: float, utilities: list[float], stage: int = 0
 ) -> Admission:
+    """An Admission after answers with this latency (s), with this arrival rate (calls per s)."""
     admission = Admission(stage, Random(3))
     for _ in range(20):
         admission.observe_latency(latency)
@@ -142,10 +143,8 @@
     driver = Driver(settings(classes=[low_utility, high_utility, *settings().classes]))
     fill_concurrency_limit(driver)
     admission = driver.balancer.admission
-    admission.mean_latency.value, admission.mean_latency.count = (
-        0.4,
-        0.0,
-    )  # each position waits 0.4 / 2 = 0.2 s
+    # Each position of the queue waits 0.4 / 2 = 0.2 s.
+    admission.mean_latency.value, admission.mean_latency.count = 0.4, 0.0
     for class_state in driver.balancer.class_states.values():
         class_state.mean_latency.value = 0.2
     # With a latency objective of 1 s, 0.2 n + 2 x 0.2 <= 1 allows three positions.
@@ -191,7 +190,7 @@
     assert not [a for a in driver.wait(5.0) if isinstance(a, Probe)]
 
 
-def test_pick_scales_by_the_listed_size() -> None:
+def test_pick_scales_by_the_listed_weight() -> None:
     listed = [ServerEntry(1, zone="a", weight=3.0), ServerEntry(2, zone="a", weight=1.0)]
     driver = Driver(settings(), servers=listed)
     servers = [only_send(driver.arrive(call)).server for call in range(4)]
@@ -364,7 +363,7 @@
 
 
 def test_after_any_number_of_failures_discovery_is_asked_once_within_the_longest_pause() -> None:
-    """If all instances asked sooner, discovery could answer none. Leases cover what changes meanwhile."""
+    """If all instances called sooner, discovery could answer none. Leases cover what changes meanwhile."""
     driver = Driver(settings(ask_for_list=True, must_ask_within=60.0))
     driver.wait(2.1)
     for _ in range(12):
@@ -486,7 +485,7 @@
         for stage in range(depth)
     ]
     sends_by_tier = [0] * depth
-    event_queue: list[tuple[float, int, int, Event]] = []  # when, which tier hears it, in which order, what
+    event_queue: list[tuple[float, int, int, Event]] = []  # time, receiving tier, sequence number, event
     sequence = count()
 
     def schedule(tier: int, at: float, event: Event) -> None:
@@ -815,7 +814,8 @@
 
 
 def test_a_retry_costs_less_after_an_attempt_that_never_ran() -> None:
-    # Seen there too: refused calls used up the retry budget of inner tiers, and each one lost the call above.
+    # Seen on wide+reset+stale days of central-santiago: refused calls used up the retry budget of inner tiers,
+    # and each one lost the call above.
     driver = Driver(settings())
     driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
     first = only_send(driver.arrive(1))
@@ -826,7 +826,8 @@
 
 
 def test_a_broken_connection_does_not_change_the_speed_of_its_server_and_old_samples_fade() -> None:
-    # Seen there too: each reset counted as 8 mean latencies, and a server without calls kept that for 16 s.
+    # Seen on wide+reset+stale days of central-santiago: each reset counted as 8 mean latencies, and a server
+    # without calls kept that for 16 s.
     driver = Driver(settings(), servers=entries(1))
     driver.finish(only_send(driver.arrive(1, "once")), Status.OK)
     server = driver.balancer.servers.known[1]
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -62,7 +62,7 @@
 
 
 def test_a_call_that_is_rejected_at_once_proves_nothing_even_after_the_watch_was_lost() -> None:
-    """Discovery may be back and tell others of changes while it rejects this call. An overloaded one did so:
+    """Discovery may be back and send changes to others while it rejects this call. An overloaded one did so:
     48 of 100 proxies got a 503 within 0.01 s on their first call."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
@@ -102,7 +102,7 @@
 
 
 def test_a_watch_that_is_cut_soon_after_its_start_proves_nothing() -> None:
-    """A change to tell may have been queued."""
+    """The answer with a change may have been queued."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
     lease.on_failure(Failure.WATCH_CUT, 100.0, 101.0)
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -48,6 +48,7 @@
 
 
 def server(number: int, zone: str = "a", cell: int = 0, state: ServerState = ServerState.SERVING) -> Server:
+    """A server with this state, as a list would name it."""
     (entry,) = entries(number, zone=zone, state=state)
     entry.cell = cell
     return Server(entry, 0.0)
@@ -92,7 +93,7 @@
     assert not safety_rules.may_send(call, server(2, cell=1), 100.1)
 
 
-def test_two_attempts_only_where_copies_are_allowed() -> None:
+def test_two_attempts_only_where_duplicates_are_allowed() -> None:
     safety_rules, call = rules_after_attempt("safe", None)
     assert not safety_rules.may_send(call, server(2), 100.1)
     safety_rules, call = rules_after_attempt("safe", None, duplicate=True)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -43,6 +43,7 @@
         self.ended = False
 
     def first_possible_execution(self) -> tuple[int, float, Status | None] | None:
+        """The earliest attempt that ran, may have run or may still run."""
         return next((a for a in self.attempts if a[2] not in NEVER_RAN), None)
 
 
