--- a/granitepoint/admission.py
+++ b/granitepoint/admission.py
@@ -42,7 +42,7 @@
 MIN_CALLS_PER_SERVER = 2.0
 MAX_STEP_FRACTION = 0.3  # of the concurrency limit: the maximum change for one call
 INITIAL_CONCURRENCY_LIMIT = 4.0  # calls
-# Added per stage to the factor on the supported throughput: a refusal loses the work done in the tiers above.
+# Added per stage to the factor on the supported rate: a refusal loses the work done in the tiers above.
 SUNK_COST_PER_STAGE = 0.5
 
 
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -66,7 +66,7 @@
 MAX_REPORT_DELAY = 0.5  # s by which a load report may lag behind: servers refresh it periodically
 LOAD_DECAY_RATIO = 10.0  # decay time of a server's smoothed load, as a multiple of that of its last report
 ZONE_LOAD_SAMPLES = 10  # reports in a zone's mean load: a few seconds of probes at one call per second
-CROSSING_FACTOR = 3.0  # latency objectives per point of price_crossing, in the cost of a server elsewhere
+CROSSING_FACTOR = 3.0  # latency objectives per point of price_crossing, in the cost of another zone's server
 TAIL_ALLOWANCE = 2.0  # mean latencies that a call needs after its wait in the queue, for long tails
 RETRY_RATIO = 0.15  # further attempts per arriving call: a budget stops amplification across the tiers
 RETRY_BURST = 5.0  # further attempts that may be sent at once
@@ -290,12 +290,12 @@
         self.slow_start_tokens = slow_start_tokens  # attempts that may be sent to it while it is cold
         self.update(entry)
         self.in_flight = 0  # attempts of this instance
-        self.ejected_until = 0.0  # 0: in use
+        self.ejected_until = 0.0  # 0: not ejected
         self.ejections = 0  # in a row, which set the length of the next one
         self.on_probation = False  # readmitted after an ejection: one call at a time until one succeeds
         self.last_ok = 0.0  # when its last successful answer to a call came
-        self.probing = False
-        self.probed_at = -math.inf
+        self.probing = False  # a probe is in flight
+        self.probed_at = -math.inf  # when the last probe was sent
         self.reset_statistics()
 
     def update(self, entry: ServerEntry) -> None:
@@ -419,10 +419,10 @@
         """Refills the tokens of cold servers over `span` s. A cold server looks idle to all instances: each
         may send no more than its fair share of what the server can serve by now, so that all together stay
         within the budget of any time window."""
-        size = sum(server.weight for server in self.pool)
+        weight = sum(server.weight for server in self.pool)
         multiple = COLD_BUDGET_SHARE * self.settings.fall_multiple
         # Smoothed like the send rate: what went to many servers is no measure of what the few left can serve.
-        self.pool_weight += (size - self.pool_weight) * (
+        self.pool_weight += (weight - self.pool_weight) * (
             min(1.0, span / AVERAGING_TIME) if self.pool_weight else 1.0
         )
         # The peak, not the current rate: otherwise few sends would allow even fewer, and a fleet in a rolling
@@ -1141,15 +1141,15 @@
             self.actions.append(Cancel(call.id, attempt.number))
 
     def renew_health_leases(self) -> None:
-        """Sends due health checks, charged to later steady probes, since they bring load reports too."""
+        """Sends due health checks, charged to later regular probes, since they bring load reports too."""
         for server in self.health_leases.due_checks(self.servers.pool, self.now, self.busy + len(self.queue)):
             self.probe_tokens = max(-MAX_LEASE_PROBE_DEBT, self.probe_tokens - 1)
             self.send_probe(server)
 
     def send_due_probes(self, span: float) -> None:
-        """Sends health checks for leases, probes that may end ejections, and steady probes for load reports.
+        """Sends health checks for leases, probes that may end ejections, and regular probes for load reports.
 
-        Steady probes stop where calls probe their candidates. `interval`: s since the last control step."""
+        Regular probes stop where calls probe their candidates. `interval`: s since the last control step."""
         if not self.settings.may_probe or not self.servers.pool:
             return
         now = self.now
@@ -1171,7 +1171,7 @@
     def must_wait_for_probes(self, call: Call) -> bool:
         """Returns whether a call still has to wait for probes of its candidate servers.
 
-        The first time, it chooses and probes them: only where probes are cheap and calls so few that steady
+        The first time, it chooses and probes them: only where probes are cheap and calls so few that regular
         reports are older than a call's latency. This avoids picks by stale reports where many instances share
         few calls."""
         if call.probed_candidates is None:
--- a/granitepoint/membership/evidence.py
+++ b/granitepoint/membership/evidence.py
@@ -29,16 +29,16 @@
     LOCAL_ERROR = "own fault"  # this machine could not make the call; this proves nothing about discovery
 
 
-def classify(waited: float, continued: bool, short_queue: bool = False) -> Failure:
+def classify(waited: float, continued: bool, previous_unqueued: bool = False) -> Failure:
     """Classifies a call that was answered with an error, or whose connection ended, after `waited` seconds.
 
-    `continued`: the call continued a watch that had just been answered. `short_queue`: that answer had not
-    been queued.
+    `continued`: the call continued a watch that had just been answered. `previous_unqueued`: that answer had
+    not been queued.
     """
     if waited <= IMMEDIATE_FAILURE_TIME:
         return Failure.IMMEDIATE
     if continued and waited < MIN_QUEUE_TIME:
         return Failure.WATCH_CUT
-    if continued and waited > (MAX_SHORT_QUEUE_TIME if short_queue else MAX_QUEUE_TIME):
+    if continued and waited > (MAX_SHORT_QUEUE_TIME if previous_unqueued else MAX_QUEUE_TIME):
         return Failure.WATCH_LOST
     return Failure.WAITED
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -536,7 +536,7 @@
 
 
 def test_with_few_calls_and_cheap_probes_candidates_are_probed_before_sending() -> None:
-    # Seen on karachi-main: with one call in two seconds per instance, steady load reports are always stale.
+    # Seen on karachi-main: with one call in two seconds per instance, regular load reports are always stale.
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
     actions = driver.arrive(1)
     probed = [a.server for a in actions if isinstance(a, Probe)]
@@ -814,8 +814,8 @@
 
 
 def test_a_retry_costs_less_after_an_attempt_that_never_ran() -> None:
-    # Seen on wide+reset+stale days of central-santiago: refused calls used up the retry budget of inner tiers,
-    # and each one lost the call above.
+    # Seen on wide+reset+stale days of central-santiago: refused calls used up the retry budget of inner
+    # tiers, and each one lost the call above.
     driver = Driver(settings())
     driver.balancer.retry_tokens = NEVER_RAN_RETRY_COST
     first = only_send(driver.arrive(1))
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "asked", "waited", "continued", "failure"),
+    ("error", "request_sent", "waited", "continued", "failure"),
     [
         (ConnectionRefusedError(), False, 0.0, False, Failure.REFUSED),
         (TimeoutError(), True, 4.0, False, Failure.SILENT),
@@ -196,20 +196,22 @@
     ],
 )
 def test_failed_calls_are_classified_by_what_they_prove(
-    error: Exception, asked: bool, waited: float, continued: bool, failure: Failure
+    error: Exception, request_sent: bool, waited: float, continued: bool, failure: Failure
 ) -> None:
-    assert classify_failure(error, asked, waited, continued) is failure
+    assert classify_failure(error, request_sent, waited, continued) is failure
 
 
 def test_after_an_answer_that_was_not_queued_a_watch_counts_as_held_sooner() -> None:
     """With 60 proxies, 24 watches that ended after 2 to 3 s were mistaken for queued calls, and their leases
     ended 3 s early. A queued call has failed by then, even if its end is noticed half a second late."""
     waits = (1.0, 2.0, 2.4, 2.6, 2.9, 3.1)
-    after_short_queue = [classify(waited, continued=True, short_queue=True) for waited in waits]
+    after_short_queue = [classify(waited, continued=True, previous_unqueued=True) for waited in waits]
     assert after_short_queue == [Failure.WATCH_CUT] + [Failure.WAITED] * 2 + [Failure.WATCH_LOST] * 3
     after_queued_answer = [classify(waited, continued=True) for waited in waits]
     assert after_queued_answer == [Failure.WATCH_CUT] + [Failure.WAITED] * 4 + [Failure.WATCH_LOST]
-    assert Failure.WATCH_LOST not in [classify(waited, continued=False, short_queue=True) for waited in waits]
+    assert Failure.WATCH_LOST not in [
+        classify(wait, continued=False, previous_unqueued=True) for wait in waits
+    ]
 
 
 def asking_driver(**changes: object) -> Driver:
