--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -62,7 +62,7 @@
 
 
 def test_a_call_that_is_rejected_at_once_proves_nothing_even_after_the_watch_was_lost() -> None:
-    """Discovery may be back and tell others of changes while it rejects this call. An overloaded one did so:
+    """Discovery may be back and send changes to others while it rejects this call. An overloaded one did so:
     48 of 100 proxies got a 503 within 0.01 s on their first call."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
@@ -102,7 +102,7 @@
 
 
 def test_a_watch_that_is_cut_soon_after_its_start_proves_nothing() -> None:
-    """A change to tell may have been queued."""
+    """The answer with a change may have been queued."""
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
     lease.on_failure(Failure.WATCH_CUT, 100.0, 101.0)
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "asked", "waited", "continued", "failure"),
+    ("error", "request_sent", "waited", "continued", "failure"),
     [
         (ConnectionRefusedError(), False, 0.0, False, Failure.REFUSED),
         (TimeoutError(), True, 4.0, False, Failure.SILENT),
@@ -196,20 +196,22 @@
     ],
 )
 def test_failed_calls_are_classified_by_what_they_prove(
-    error: Exception, asked: bool, waited: float, continued: bool, failure: Failure
+    error: Exception, request_sent: bool, waited: float, continued: bool, failure: Failure
 ) -> None:
-    assert classify_failure(error, asked, waited, continued) is failure
+    assert classify_failure(error, request_sent, waited, continued) is failure
 
 
 def test_after_an_answer_that_was_not_queued_a_watch_counts_as_held_sooner() -> None:
     """With 60 proxies, 24 watches that ended after 2 to 3 s were mistaken for queued calls, and their leases
     ended 3 s early. A queued call has failed by then, even if its end is noticed half a second late."""
     waits = (1.0, 2.0, 2.4, 2.6, 2.9, 3.1)
-    after_short_queue = [classify(waited, continued=True, short_queue=True) for waited in waits]
+    after_short_queue = [classify(waited, continued=True, previous_unqueued=True) for waited in waits]
     assert after_short_queue == [Failure.WATCH_CUT] + [Failure.WAITED] * 2 + [Failure.WATCH_LOST] * 3
     after_queued_answer = [classify(waited, continued=True) for waited in waits]
     assert after_queued_answer == [Failure.WATCH_CUT] + [Failure.WAITED] * 4 + [Failure.WATCH_LOST]
-    assert Failure.WATCH_LOST not in [classify(waited, continued=False, short_queue=True) for waited in waits]
+    assert Failure.WATCH_LOST not in [
+        classify(wait, continued=False, previous_unqueued=True) for wait in waits
+    ]
 
 
 def asking_driver(**changes: object) -> Driver:
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -85,7 +85,7 @@
 class ProbesWithoutPermission(Balancer):
     def send_due_probes(self, interval: float) -> None:
         for server in self.servers.pool:
-            if not server.probe_out:
+            if not server.probing:
                 self.send_probe(server)
 
 
