--- a/granitepoint/experiments/__init__.py
+++ b/granitepoint/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments: module versions and settings crossed with days and seeds, and the report of them.
+"""Experiments: runs variants of the decision module and of settings on days and seeds, and reports the comparison.
 
-The proxy imports none of this.
+The proxy imports nothing from this package.
 """
--- a/granitepoint/experiments/cell.py
+++ b/granitepoint/experiments/cell.py
@@ -1,6 +1,7 @@
-"""Plays one day: the day as JSON on standard input, the records on standard output, a JSON line each.
+"""Runs one day in the emulator: reads the day as JSON on standard input, writes its records as JSON lines.
 
-A process of its own for each cell, run from the tree of its version, so no state and no module is shared.
+Each cell runs in its own process, from the source tree of its version, so that cells share no state and no
+imported modules. The records go to standard output.
 """
 
 from __future__ import annotations
@@ -16,11 +17,12 @@
 
 
 def main() -> int:
+    """Returns the exit code: 1, with one line on standard error, if the day is invalid or the emulator fails."""
     try:
         day = check(msgspec.json.decode(sys.stdin.buffer.read(), type=Day))
         records = World(day).run()
-    except (msgspec.MsgspecError, ExperimentError, EmulatorFault) as fault:
-        print(" ".join(str(fault).split()), file=sys.stderr)
+    except (msgspec.MsgspecError, ExperimentError, EmulatorFault) as error:
+        print(" ".join(str(error).split()), file=sys.stderr)
         return 1
     for record in records:
         sys.stdout.buffer.write(msgspec.json.encode(record) + b"\n")
--- a/granitepoint/experiments/paired.py
+++ b/granitepoint/experiments/paired.py
@@ -1,4 +1,4 @@
-"""Paired differences: each variant against the baseline on the same day and seed."""
+"""Paired comparison: the difference of each variant from the baseline on the same day and seed."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 from granitepoint.emulator.tally import Total
 
-RESAMPLES = 10_000
-INTERVAL = 95.0  # in 100
-FEWEST = 5  # pairs of a day: the interval of fewer is too narrow to tell anything apart
-SEED = 1  # of the resampling: the same results give the same intervals
+BOOTSTRAP_RESAMPLES = 10_000
+CONFIDENCE_PERCENT = 95.0
+MIN_PAIRS_PER_DAY = 5  # with fewer pairs the bootstrap interval is too narrow to show a difference
+BOOTSTRAP_SEED = 1  # fixed, so that the same results give the same intervals
+# Name of each figure in the tables: its unit and how it is computed from a cell's total.
 FIGURES: dict[str, tuple[str, Callable[[Total], float]]] = {
     "in time": ("% of requests", lambda total: 100 * total.in_time_share),
     "worth served": ("% of what was asked for", lambda total: 100 * total.worth_served),
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Of one figure: the variant less the baseline, in the figure's unit."""
+    """The mean difference of one figure, variant minus baseline, in the figure's unit."""
 
     variant: str
     figure: str
@@ -38,74 +39,78 @@
     mean: float
     low: float  # ends of the bootstrap interval
     high: float
-    fewest: int  # pairs of a day
+    min_pairs_per_day: int  # of the day that has the fewest
 
     @property
     def verdict(self) -> str:
-        """Whether the interval leaves out that there is no difference."""
-        if self.fewest < FEWEST:
+        """Whether the difference is significant: the interval has to exclude 0."""
+        if self.min_pairs_per_day < MIN_PAIRS_PER_DAY:
             return "too few seeds"
         return "told apart" if self.low > 0 or self.high < 0 else ""
 
 
-def interval(strata: Sequence[Sequence[float]]) -> tuple[float, float]:
-    """The percentile bootstrap interval of the mean of all values, each stratum resampled within itself.
+def bootstrap_interval(strata: Sequence[Sequence[float]]) -> tuple[float, float]:
+    """Returns the percentile bootstrap interval of the mean of all values, from a stratified resampling.
 
-    The strata are days: how days differ among each other is no chance that seeds could tell of. Raises
-    ValueError where there is no value.
+    Each stratum holds the values of one day and is resampled on its own, because the variation between days is
+    not random variation that more seeds would reduce. Raises ValueError if there are no values.
     """
-    held = [np.asarray(values, dtype=float) for values in strata if len(values)]
-    if not held:
-        raise ValueError("nothing to resample")
-    random = np.random.default_rng(SEED)
-    sums = np.zeros(RESAMPLES)
-    for values in held:
-        picks = random.integers(0, len(values), size=(RESAMPLES, len(values)))
-        sums += values[picks].sum(axis=1)
-    means = sums / sum(len(values) for values in held)
-    tail = (100 - INTERVAL) / 2
-    low, high = np.percentile(means, [tail, 100 - tail])
+    samples = [np.asarray(values, dtype=float) for values in strata if len(values)]
+    if not samples:
+        raise ValueError("no values to resample")
+    generator = np.random.default_rng(BOOTSTRAP_SEED)
+    sums = np.zeros(BOOTSTRAP_RESAMPLES)
+    for values in samples:
+        indices = generator.integers(0, len(values), size=(BOOTSTRAP_RESAMPLES, len(values)))
+        sums += values[indices].sum(axis=1)
+    means = sums / sum(len(values) for values in samples)
+    tail_percent = (100 - CONFIDENCE_PERCENT) / 2
+    low, high = np.percentile(means, [tail_percent, 100 - tail_percent])
     return float(low), float(high)
 
 
 def means(
     totals: Mapping[tuple[str, str, int], Total], variants: Sequence[str]
 ) -> list[tuple[str, str, int, list[float]]]:
-    """Each day's variants with the count of their cells and the means of all FIGURES, in that order."""
+    """Returns a row for each day and variant: day, variant, number of cells, means in the order of FIGURES."""
     rows = []
     for day in sorted({key[1] for key in totals}):
         for variant in variants:
-            mine = [total for key, total in totals.items() if key[:2] == (variant, day)]
-            if mine:
-                figures = [sum(map(read, mine)) / len(mine) for _, read in FIGURES.values()]
-                rows.append((day, variant, len(mine), figures))
+            matching = [total for key, total in totals.items() if key[:2] == (variant, day)]
+            if matching:
+                figures = [sum(map(compute, matching)) / len(matching) for _, compute in FIGURES.values()]
+                rows.append((day, variant, len(matching), figures))
     return rows
 
 
 def differences(
     totals: dict[tuple[str, str, int], Total], base: str, variants: Sequence[str], day: str | None = None
 ) -> list[Difference]:
-    """Of each variant but the baseline and each figure, over the cells that both have played. `totals` by
-    variant, day and seed; `day`: over that one alone."""
-    found = []
+    """Compares each variant with the baseline, figure by figure, over the cells for which both have a total.
+
+    `totals` has the keys variant, day and seed. `day` limits the comparison to that day.
+    """
+    rows = []
     for variant in variants:
-        keys = [
-            (of, seed)
-            for name, of, seed in totals
-            if name == variant and (base, of, seed) in totals and day in (None, of)
+        pairs = [
+            (cell_day, seed)
+            for name, cell_day, seed in totals
+            if name == variant and (base, cell_day, seed) in totals and day in (None, cell_day)
         ]
-        if variant == base or not keys:
+        if variant == base or not pairs:
             continue
-        for figure, (unit, read) in FIGURES.items():
+        for figure, (unit, compute) in FIGURES.items():
             strata: dict[str, list[float]] = defaultdict(list)
-            for of, seed in sorted(keys):
-                strata[of].append(read(totals[variant, of, seed]) - read(totals[base, of, seed]))
+            for cell_day, seed in sorted(pairs):
+                strata[cell_day].append(
+                    compute(totals[variant, cell_day, seed]) - compute(totals[base, cell_day, seed])
+                )
             values = [value for stratum in strata.values() for value in stratum]
-            low, high = interval(list(strata.values()))
-            mean_of_base = float(np.mean([read(totals[base, of, seed]) for of, seed in keys]))
+            low, high = bootstrap_interval(list(strata.values()))
+            mean_of_base = float(np.mean([compute(totals[base, cell_day, seed]) for cell_day, seed in pairs]))
             mean = float(np.mean(values))
-            fewest = min(len(stratum) for stratum in strata.values())
-            found.append(
-                Difference(variant, figure, unit, len(values), mean_of_base, mean, low, high, fewest)
+            min_pairs = min(len(stratum) for stratum in strata.values())
+            rows.append(
+                Difference(variant, figure, unit, len(values), mean_of_base, mean, low, high, min_pairs)
             )
-    return found
+    return rows
--- a/granitepoint/experiments/plan.py
+++ b/granitepoint/experiments/plan.py
@@ -1,4 +1,4 @@
-"""An experiment file: which variants are played on which days, with which seeds."""
+"""An experiment file: which variants run on which days, with which seeds."""
 
 from __future__ import annotations
 
@@ -12,123 +12,135 @@
 from granitepoint.emulator import drawn
 from granitepoint.fleet.experiment import ExperimentError
 
-MOST_CELLS = 100_000
-NAME = re.compile(r"[\w.-]{1,60}", re.ASCII)  # of a variant: it names a folder of plots too
+MAX_CELLS = 100_000
+VARIANT_NAME = re.compile(r"[\w.-]{1,60}", re.ASCII)  # safe as the name of a folder of plots
 
 
 class Variant(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """What is compared: a module, and changes to each day's own settings."""
+    """One side of the comparison: a version of the decision module, and changes to the settings of each day."""
 
     name: str
-    revision: str = ""  # of git, whose decision module plays; empty: the one of the work tree
-    set: dict[str, Any] = {}  # of a day, by dotted path, such as "limits.max_attempts"
+    revision: str = ""  # git revision of the decision module; empty: the work tree
+    set: dict[str, Any] = {}  # settings of the day by dotted path, such as "limits.max_attempts"
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """As the file has it. The first variant is the baseline unless another is named."""
+    """The content of an experiment file."""
 
     name: str
-    days: list[str]  # files of the emulator's days, or of days that the simulator drew, beside this one
-    seeds: int | list[int] = 4  # how many, counted from the day's own; or which
+    days: list[str]  # paths relative to this file: days of the emulator, or .json days from the simulator
+    seeds: int | list[int] = 4  # a count, starting with the day's own seed; or a list of seeds
     variants: list[Variant]
-    baseline: str = ""
-    longest_s: float = 1800.0  # of real time for one cell
+    baseline: str = ""  # name of a variant; empty: the first one
+    longest_s: float = 1800.0  # limit of real time for one cell
 
     @property
     def base(self) -> str:
+        """The name of the baseline variant."""
         return self.baseline or self.variants[0].name
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One day with one seed, played by one variant."""
+    """One run of the experiment: one variant on one day with one seed."""
 
     variant: str
-    day: str  # its name
+    day: str  # name of the day's file, without its suffix
     seed: int
-    played: days.Day  # with the variant's settings and the seed in it
+    configured_day: days.Day  # with the variant's settings and the seed applied
 
     @property
     def label(self) -> str:
+        """The cell's name in messages."""
         return f"{self.variant} {self.day} seed {self.seed}"
 
 
-def _need(ok: object, key: str, text: str) -> None:
-    if not ok:
+def _require(condition: object, key: str, text: str) -> None:
+    if not condition:
         raise ExperimentError(f"{key}: {text}")
 
 
 def check(plan: Experiment) -> Experiment:
-    """What types can't say. Raises ExperimentError."""
-    _need(plan.days, "days", "there is none")
-    _need(plan.variants, "variants", "there is none")
+    """Checks what the types of the fields cannot express, and returns the plan. Raises ExperimentError."""
+    _require(plan.days, "days", "at least one is required")
+    _require(plan.variants, "variants", "at least one is required")
     names = [variant.name for variant in plan.variants]
-    _need(len(set(names)) == len(names), "variants", "two have one name")
+    _require(len(set(names)) == len(names), "variants", "names must be unique")
     for number, variant in enumerate(plan.variants):
         path = f"variants[{number}]"
-        _need(NAME.fullmatch(variant.name), f"{path}.name", "60 letters, digits, _ . - at most")
-        _need(not variant.revision.startswith("-"), f"{path}.revision", "not a revision")
-    _need(not plan.baseline or plan.baseline in names, "baseline", f"no such variant: {plan.baseline}")
+        _require(
+            VARIANT_NAME.fullmatch(variant.name), f"{path}.name", "must be 1 to 60 letters, digits, _ . -"
+        )
+        _require(not variant.revision.startswith("-"), f"{path}.revision", "must not start with -")
+    _require(not plan.baseline or plan.baseline in names, "baseline", f"no such variant: {plan.baseline}")
     seeds = plan.seeds
-    _need(seeds > 0 if isinstance(seeds, int) else seeds, "seeds", "there is none")
-    _need(isinstance(seeds, int) or len(set(seeds)) == len(seeds), "seeds", "one stands twice")
-    _need(plan.longest_s > 0, "longest_s", "must be above 0")
+    _require(seeds > 0 if isinstance(seeds, int) else seeds, "seeds", "at least one is required")
+    _require(isinstance(seeds, int) or len(set(seeds)) == len(seeds), "seeds", "must be unique")
+    _require(plan.longest_s > 0, "longest_s", "must be above 0")
     count = len(names) * len(plan.days) * (seeds if isinstance(seeds, int) else len(seeds))
-    _need(count <= MOST_CELLS, "seeds", f"{count} cells are more than {MOST_CELLS}")
+    _require(count <= MAX_CELLS, "seeds", f"{count} cells exceed the limit of {MAX_CELLS}")
     return plan
 
 
 def load(path: Path) -> Experiment:
-    """Raises ExperimentError, which names the file."""
+    """Reads and checks an experiment file. Raises ExperimentError, which names the file."""
     try:
         return check(msgspec.toml.decode(path.read_bytes(), type=Experiment))
-    except (OSError, ExperimentError) as fault:
-        raise ExperimentError(f"{path}: {fault}") from None
-    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise ExperimentError(f"{path}: {' '.join(str(fault).split())}") from None
+    except (OSError, ExperimentError) as error:
+        raise ExperimentError(f"{path}: {error}") from None
+    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ExperimentError(f"{path}: {' '.join(str(error).split())}") from None
 
 
-def _override(raw: dict[str, Any], path: str, value: Any) -> None:
-    """Sets what stands at a dotted path, numbers standing for places in lists. Raises ExperimentError."""
+def _set_by_path(settings: dict[str, Any], path: str, value: Any) -> None:
+    """Sets the value at a dotted path, in which a number is an index of a list.
+
+    Only the last key at the top level may be missing in `settings`. Raises ExperimentError for any other
+    unknown key or index.
+    """
     *parents, last = path.split(".")
-    at: Any = raw
+    container: Any = settings
     for key in parents:
-        if isinstance(at, list) and key.isdecimal() and int(key) < len(at):
-            at = at[int(key)]
-        elif isinstance(at, dict) and key in at:
-            at = at[key]
+        if isinstance(container, list) and key.isdecimal() and int(key) < len(container):
+            container = container[int(key)]
+        elif isinstance(container, dict) and key in container:
+            container = container[key]
         else:
-            raise ExperimentError(f"{path}: no such setting of a day")
-    if isinstance(at, list) and last.isdecimal() and int(last) < len(at):
-        at[int(last)] = value
-    elif isinstance(at, dict) and (last in at or at is raw):
-        at[last] = value
+            raise ExperimentError(f"{path}: a day has no such setting")
+    if isinstance(container, list) and last.isdecimal() and int(last) < len(container):
+        container[int(last)] = value
+    elif isinstance(container, dict) and (last in container or container is settings):
+        container[last] = value
     else:
-        raise ExperimentError(f"{path}: no such setting of a day")
+        raise ExperimentError(f"{path}: a day has no such setting")
 
 
-def varied(day: days.Day, variant: Variant, seed: int) -> days.Day:
-    """The day with the variant's settings in it. Raises ExperimentError."""
-    raw = msgspec.to_builtins(day)
+def apply_variant(day: days.Day, variant: Variant, seed: int) -> days.Day:
+    """Returns a copy of the day with the variant's settings and the seed. Raises ExperimentError."""
+    settings = msgspec.to_builtins(day)
     for path, value in variant.set.items():
-        _override(raw, path, value)
-    raw["seed"] = seed
+        _set_by_path(settings, path, value)
+    settings["seed"] = seed
     try:
-        return days.check(msgspec.convert(raw, type=days.Day))
-    except (msgspec.ValidationError, ExperimentError) as fault:
-        raise ExperimentError(f"variant {variant.name}, day {day.name}: {fault}") from None
+        return days.check(msgspec.convert(settings, type=days.Day))
+    except (msgspec.ValidationError, ExperimentError) as error:
+        raise ExperimentError(f"variant {variant.name}, day {day.name}: {error}") from None
+
 
+def expand_cells(plan: Experiment, folder: Path) -> list[Cell]:
+    """Returns all cells of the experiment, ordered by day, seed and variant.
 
-def cells(plan: Experiment, beside: Path) -> list[Cell]:
-    """All that is to be played, day by day. `beside`: the folder of the file. Raises ExperimentError."""
+    `folder` is the folder of the experiment file, from which the paths of its days start. Raises
+    ExperimentError.
+    """
     found: list[Cell] = []
-    names: set[str] = set()
+    labels: set[str] = set()
     for name in plan.days:
-        path = beside / name
+        path = folder / name
         day = drawn.load(path) if path.suffix == ".json" else days.load(path)
         label = path.stem
-        _need(label not in names, "days", f"two are called {label}")
-        names.add(label)
+        _require(label not in labels, "days", f"two files have the name {label}")
+        labels.add(label)
         seeds = [day.seed + n for n in range(plan.seeds)] if isinstance(plan.seeds, int) else plan.seeds
         for seed in seeds:
-            found += [Cell(v.name, label, seed, varied(day, v, seed)) for v in plan.variants]
+            found += [Cell(v.name, label, seed, apply_variant(day, v, seed)) for v in plan.variants]
     return found
--- a/granitepoint/experiments/play.py
+++ b/granitepoint/experiments/play.py
@@ -1,4 +1,4 @@
-"""Plays an experiment's cells on all cores, a process each, and keeps each result as it comes."""
+"""Runs the cells of an experiment in parallel, one process each, and stores each result as it arrives."""
 
 from __future__ import annotations
 
@@ -15,133 +15,155 @@
 
 import msgspec
 
-from granitepoint.experiments.plan import Cell, Experiment, cells
+from granitepoint.experiments.plan import Cell, Experiment, expand_cells
 from granitepoint.experiments.store import Result, Store
-from granitepoint.experiments.versions import Version, at_revision, present
+from granitepoint.experiments.versions import Version, version_at_revision, work_tree_version
 
-MOST_SAID = 500  # characters of a fault
+MAX_ERROR_CHARS = 500
 
 
 @dataclass(slots=True)
 class Progress:
-    """What became of the cells so far."""
+    """Counts of the cells of a run."""
 
     cells: int
-    held: int  # results of an earlier run that still stand
-    played: int = 0
-    faults: int = 0
-    stopped: bool = False  # before all were played
+    reused: int  # stored results of an earlier run that are still valid
+    finished: int = 0  # run now, including those that failed
+    failures: int = 0
+    interrupted: bool = False  # before all cells had run
 
 
-class Stopped(Exception):
-    """The run is to end: cells in play are ended, their results not kept."""
+class RunStopped(Exception):
+    """The cell was killed because the whole run is being stopped; it has no result."""
 
 
-class Player:
-    """One process a cell. `stop` ends those in play and keeps further ones from starting."""
+class CellRunner:
+    """Runs each cell in its own process. The methods are called from several threads."""
 
-    def __init__(self, longest: float) -> None:
-        self.longest = longest
-        self.running: set[subprocess.Popen[bytes]] = set()
+    def __init__(self, max_duration: float) -> None:
+        """`max_duration` is the limit of real time for one cell, in seconds."""
+        self.max_duration = max_duration
+        self.processes: set[subprocess.Popen[bytes]] = set()
         self.stopped = False
 
     def stop(self) -> None:
+        """Kills the running processes and makes each further run_cell raise RunStopped."""
         self.stopped = True
-        for process in list(self.running):
+        for process in list(self.processes):
             process.kill()
 
-    def play(self, cell: Cell, version: Version) -> Result:
-        """Raises Stopped."""
-        begun = time.monotonic()
+    def run_cell(self, cell: Cell, version: Version) -> Result:
+        """Runs a cell and waits for its end. A failure or a timeout is part of the result. Raises RunStopped."""
+        started_at = time.monotonic()
         environ = {**os.environ, "PYTHONPATH": str(version.root)}
         process = subprocess.Popen(
             [sys.executable, "-P", "-m", "granitepoint.experiments.cell"],
             cwd=version.root, env=environ, stdin=subprocess.PIPE, stdout=subprocess.PIPE,
             stderr=subprocess.PIPE, process_group=0,
         )  # fmt: skip
-        self.running.add(process)
+        self.processes.add(process)
         try:
+            # stop() may have run before the process was in the set.
             if self.stopped:
                 process.kill()
-            out, told = process.communicate(msgspec.json.encode(cell.played), timeout=self.longest)
-            fault = "" if process.returncode == 0 else _said(told) or f"ended with {process.returncode}"
+            stdout, stderr = process.communicate(
+                msgspec.json.encode(cell.configured_day), timeout=self.max_duration
+            )
+            fault = (
+                "" if process.returncode == 0 else _last_line(stderr) or f"exit status {process.returncode}"
+            )
         except subprocess.TimeoutExpired:
             process.kill()
             process.communicate()
-            out, fault = b"", f"not at its end after {self.longest:g} s"
+            stdout, fault = b"", f"timed out after {self.max_duration:g} s"
         finally:
-            self.running.discard(process)
+            self.processes.discard(process)
         if self.stopped:
-            raise Stopped
-        took = time.monotonic() - begun
-        records = b"" if fault else out
+            raise RunStopped
+        duration = time.monotonic() - started_at
+        records = b"" if fault else stdout
         return Result(
-            cell.variant, cell.day, cell.seed, digest(cell, version), version.commit, took, fault, records
+            cell.variant,
+            cell.day,
+            cell.seed,
+            cell_digest(cell, version),
+            version.commit,
+            duration,
+            fault,
+            records,
         )
 
 
-def _said(told: bytes) -> str:
-    """The last line: of a traceback it is the error."""
-    lines = told.decode(errors="replace").strip().splitlines()
-    return lines[-1][:MOST_SAID] if lines else ""
+def _last_line(stderr: bytes) -> str:
+    """Returns the last line, which is the error if the text is a traceback."""
+    lines = stderr.decode(errors="replace").strip().splitlines()
+    return lines[-1][:MAX_ERROR_CHARS] if lines else ""
 
 
-def digest(cell: Cell, version: Version) -> str:
-    """Stands for all that a cell's figures come from: a result with another one is played again."""
-    return sha256(version.digest.encode() + msgspec.json.encode(cell.played)).hexdigest()
+def cell_digest(cell: Cell, version: Version) -> str:
+    """Hashes everything that determines the results of a cell. A stored result with another digest is outdated."""
+    return sha256(version.digest.encode() + msgspec.json.encode(cell.configured_day)).hexdigest()
 
 
-def versions(plan: Experiment, into: Path) -> dict[str, Version]:
-    """The tree of each variant. Raises ExperimentError."""
+def prepare_versions(plan: Experiment, folder: Path) -> dict[str, Version]:
+    """Returns the version of each variant by its name; copies of trees go to `folder`. Raises ExperimentError."""
     found: dict[str, Version] = {}
     for variant in plan.variants:
-        found[variant.name] = at_revision(variant.revision, into) if variant.revision else present()
+        found[variant.name] = (
+            version_at_revision(variant.revision, folder) if variant.revision else work_tree_version()
+        )
     return found
 
 
 def run(
-    plan: Experiment, beside: Path, store: Store, jobs: int, tell: Callable[[Progress, Result], None]
+    plan: Experiment, folder: Path, store: Store, jobs: int, on_result: Callable[[Progress, Result], None]
 ) -> Progress:
-    """Plays what the store does not hold yet. A KeyboardInterrupt ends it, and what has ended is kept.
+    """Runs the cells that have no valid result in the store. A KeyboardInterrupt stops it; results are kept.
 
-    `beside`: the folder of the experiment's file. `jobs`: processes at a time. `tell` hears of each result.
-    Raises ExperimentError, StoreError.
+    `folder` is the folder of the experiment file, `jobs` the number of parallel processes. `on_result` is
+    called after each result. Raises ExperimentError and StoreError.
     """
-    wanted = cells(plan, beside)
-    with tempfile.TemporaryDirectory(prefix="granitepoint-") as folder:
-        trees = versions(plan, Path(folder))
-        store.keep_only((cell.variant, cell.day, cell.seed) for cell in wanted)
-        store.say("experiment", msgspec.json.encode(plan).decode())
-        held = store.digests()
-        due = [c for c in wanted if held.get((c.variant, c.day, c.seed)) != digest(c, trees[c.variant])]
-        progress = Progress(len(wanted), len(wanted) - len(due))
-        _play_all(due, trees, Player(plan.longest_s), jobs, store, progress, tell)
+    all_cells = expand_cells(plan, folder)
+    with tempfile.TemporaryDirectory(prefix="granitepoint-") as trees_folder:
+        versions = prepare_versions(plan, Path(trees_folder))
+        store.keep_only((cell.variant, cell.day, cell.seed) for cell in all_cells)
+        store.set_metadata("experiment", msgspec.json.encode(plan).decode())
+        stored = store.digests()
+        pending = [
+            c
+            for c in all_cells
+            if stored.get((c.variant, c.day, c.seed)) != cell_digest(c, versions[c.variant])
+        ]
+        progress = Progress(len(all_cells), len(all_cells) - len(pending))
+        _run_cells(pending, versions, CellRunner(plan.longest_s), jobs, store, progress, on_result)
     return progress
 
 
-def _play_all(
-    due: Iterable[Cell],
-    trees: Mapping[str, Version],
-    player: Player,
+def _run_cells(
+    pending: Iterable[Cell],
+    versions: Mapping[str, Version],
+    runner: CellRunner,
     jobs: int,
     store: Store,
     progress: Progress,
-    tell: Callable[[Progress, Result], None],
+    on_result: Callable[[Progress, Result], None],
 ) -> None:
     with ThreadPoolExecutor(jobs) as pool:
-        open_: set[Future[Result]] = {pool.submit(player.play, cell, trees[cell.variant]) for cell in due}
+        unfinished: set[Future[Result]] = {
+            pool.submit(runner.run_cell, cell, versions[cell.variant]) for cell in pending
+        }
         try:
-            while open_:
-                done, open_ = wait(open_, return_when=FIRST_COMPLETED)
+            while unfinished:
+                done, unfinished = wait(unfinished, return_when=FIRST_COMPLETED)
                 for future in done:
                     result = future.result()
-                    store.keep(result)
-                    progress.played += 1
-                    progress.faults += bool(result.fault)
-                    tell(progress, result)
+                    store.save(result)
+                    progress.finished += 1
+                    progress.failures += bool(result.fault)
+                    on_result(progress, result)
         except KeyboardInterrupt:
-            progress.stopped = True
+            progress.interrupted = True
         finally:
-            for future in open_:
+            for future in unfinished:
                 future.cancel()
-            player.stop()
+            runner.stop()
--- a/granitepoint/experiments/plots.py
+++ b/granitepoint/experiments/plots.py
@@ -1,4 +1,4 @@
-"""Plots of two plays beside each other, by time: the good one and the bad one, on the same scales."""
+"""Plots two runs over time, side by side on the same scales: the good one and the bad one."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from matplotlib.figure import Figure
 
 from granitepoint.emulator import tally
-from granitepoint.experiments.store import Records
+from granitepoint.experiments.store import EmulatorRecord
 
 COLOURS = ("#1b6ca8", "#d1495b", "#3a7d44", "#8d6a9f", "#c98b1d", "#4a4e69")
-DOTS = 100  # per inch
+DOTS_PER_INCH = 100
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
-    """One cell, read for its plots."""
+class CellRun:
+    """The records of one cell that its plots need."""
 
     title: str
     windows: list[tally.Window]
     samples: list[tally.Sample]  # of the first tier's instances
-    seen: list[tally.Seen]
+    events: list[tally.Seen]
 
     @property
     def times(self) -> list[float]:
-        """The middles of its windows, in s."""
+        """The middle of each window, in seconds since the start of the day."""
         return [window.from_s + tally.WINDOW / 2 for window in self.windows]
 
 
-def read(title: str, records: Sequence[Records]) -> Play:
-    """`records`: of one cell, in any order."""
-    return Play(
+def from_records(title: str, records: Sequence[EmulatorRecord]) -> CellRun:
+    """Selects the records to plot. `records` are those of one cell; the order of their types does not matter."""
+    return CellRun(
         title,
         [record for record in records if isinstance(record, tally.Window)],
         [record for record in records if isinstance(record, tally.Sample) and record.depth == 0],
@@ -48,75 +48,77 @@
     return 100 * part / whole if whole else 0.0
 
 
-def _arrival(axes: Axes, play: Play) -> None:
-    axes.plot(play.times, [w.offered / tally.WINDOW for w in play.windows], label="first tries")
-    axes.plot(play.times, [w.tries / tally.WINDOW for w in play.windows], label="with retries")
+def _plot_arrivals(axes: Axes, run: CellRun) -> None:
+    axes.plot(run.times, [w.offered / tally.WINDOW for w in run.windows], label="first tries")
+    axes.plot(run.times, [w.tries / tally.WINDOW for w in run.windows], label="with retries")
 
 
-def _served(axes: Axes, play: Play) -> None:
-    for name in sorted({name for window in play.windows for name in window.offered_by}):
-        shares = [_percent(w.in_time_by.get(name, 0), w.offered_by.get(name, 0)) for w in play.windows]
-        axes.plot(play.times, shares, label=name)
+def _plot_in_time(axes: Axes, run: CellRun) -> None:
+    for name in sorted({name for window in run.windows for name in window.offered_by}):
+        shares = [_percent(w.in_time_by.get(name, 0), w.offered_by.get(name, 0)) for w in run.windows]
+        axes.plot(run.times, shares, label=name)
 
 
-def _refused(axes: Axes, play: Play) -> None:
-    for how in ("refused", "failed", "timed_out"):
-        shares = [_percent(window.ends[how], window.offered) for window in play.windows]
-        axes.plot(play.times, shares, label=how.replace("_", " "))
+def _plot_not_served(axes: Axes, run: CellRun) -> None:
+    for ending in ("refused", "failed", "timed_out"):
+        shares = [_percent(window.ends[ending], window.offered) for window in run.windows]
+        axes.plot(run.times, shares, label=ending.replace("_", " "))
 
 
-def _limit(axes: Axes, play: Play) -> None:
-    times = [sample.at_s for sample in play.samples]
-    axes.plot(times, [sample.window for sample in play.samples], label="limit")
-    axes.plot(times, [sample.out / max(1, sample.instances) for sample in play.samples], label="in flight")
+def _plot_concurrency(axes: Axes, run: CellRun) -> None:
+    times = [sample.at_s for sample in run.samples]
+    axes.plot(times, [sample.window for sample in run.samples], label="limit")
+    axes.plot(times, [sample.out / max(1, sample.instances) for sample in run.samples], label="in flight")
 
 
-def _cut(axes: Axes, play: Play) -> None:
-    times = [sample.at_s for sample in play.samples]
-    axes.plot(times, [100 * sample.drop for sample in play.samples], label="target drop rate")
+def _plot_reject_fraction(axes: Axes, run: CellRun) -> None:
+    times = [sample.at_s for sample in run.samples]
+    axes.plot(times, [100 * sample.drop for sample in run.samples], label="target reject rate")
 
 
-def _held(axes: Axes, play: Play) -> None:
-    axes.plot([s.at_s for s in play.samples], [s.held for s in play.samples], label="held, all proxies")
+def _plot_queued(axes: Axes, run: CellRun) -> None:
+    axes.plot([s.at_s for s in run.samples], [s.held for s in run.samples], label="queued, all proxies")
 
 
-def _latency(axes: Axes, play: Play) -> None:
+def _plot_latency(axes: Axes, run: CellRun) -> None:
     for name in ("p50", "p99", "p99.9"):
-        axes.plot(play.times, [window.latency.get(f"{name}_ms", 0.0) for window in play.windows], label=name)
+        axes.plot(run.times, [window.latency.get(f"{name}_ms", 0.0) for window in run.windows], label=name)
 
 
-Panel = tuple[str, str, float, Callable[[Axes, Play], None]]  # title, unit, least height of the scale
+Panel = tuple[
+    str, str, float, Callable[[Axes, CellRun], None]
+]  # title, unit, min. upper end of the scale, plot
 PANELS: tuple[Panel, ...] = (
-    ("arrival", "requests/s", 1.0, _arrival),
-    ("served in time, by class", "% of class", 100.0, _served),
-    ("refused, failed, timed out", "% of requests", 5.0, _refused),
-    ("limit of calls in flight", "calls a proxy", 1.0, _limit),
-    ("cut", "% to be dropped", 5.0, _cut),
-    ("held", "calls", 1.0, _held),
-    ("latency of what was served", "ms", 1.0, _latency),
+    ("arrivals", "requests/s", 1.0, _plot_arrivals),
+    ("served in time, by class", "% of class", 100.0, _plot_in_time),
+    ("refused, failed, timed out", "% of requests", 5.0, _plot_not_served),
+    ("concurrency limit", "calls per proxy", 1.0, _plot_concurrency),
+    ("load shedding", "% to be rejected", 5.0, _plot_reject_fraction),
+    ("queue", "calls", 1.0, _plot_queued),
+    ("latency of served requests", "ms", 1.0, _plot_latency),
 )
 
 
-def draw(good: Play, bad: Play, path: Path) -> None:
-    """One PNG: a row a panel, the good play on the left. Raises OSError."""
+def draw(good: CellRun, bad: CellRun, path: Path) -> None:
+    """Writes a PNG image with one row per panel and the good run on the left. Raises OSError."""
     figure = Figure(figsize=(12, 2.1 * len(PANELS)), layout="constrained")
     rows = figure.subplots(len(PANELS), 2, sharex=True, sharey="row", squeeze=False)
-    for row, (title, unit, least, panel) in zip(rows, PANELS, strict=True):
-        for axes, play in zip(row, (good, bad), strict=True):
+    for row, (title, unit, min_scale, plot_panel) in zip(rows, PANELS, strict=True):
+        for axes, run in zip(row, (good, bad), strict=True):
             axes.set_prop_cycle(color=COLOURS)
-            panel(axes, play)
-            for event in play.seen:
+            plot_panel(axes, run)
+            for event in run.events:
                 axes.axvline(event.at_s, color="#999999", linewidth=0.8, linestyle=":")
             axes.set_title(title, loc="left", fontsize=9)
             axes.grid(alpha=0.25)
             axes.tick_params(labelsize=8)
-        # One scale for both, from 0, and no wider than to show that nothing is there.
-        row[0].set_ylim(0, max(row[0].get_ylim()[1], least))
+        # Both runs share a scale that starts at 0 and ends at min_scale or above: values near 0 must look small.
+        row[0].set_ylim(0, max(row[0].get_ylim()[1], min_scale))
         row[0].set_ylabel(unit, fontsize=8)
         row[1].legend(fontsize=7, loc="upper left", bbox_to_anchor=(1.0, 1.0), frameon=False)
-    for axes, play in zip(rows[0], (good, bad), strict=True):
-        axes.set_title(f"{play.title}\n{axes.get_title(loc='left')}", loc="left", fontsize=9)
+    for axes, run in zip(rows[0], (good, bad), strict=True):
+        axes.set_title(f"{run.title}\n{axes.get_title(loc='left')}", loc="left", fontsize=9)
     for axes in rows[-1]:
-        axes.set_xlabel("s of the day", fontsize=8)
+        axes.set_xlabel("s since the start of the day", fontsize=8)
     path.parent.mkdir(parents=True, exist_ok=True)
-    figure.savefig(path, dpi=DOTS, metadata={"Software": None})
+    figure.savefig(path, dpi=DOTS_PER_INCH, metadata={"Software": None})
--- a/granitepoint/experiments/versions.py
+++ b/granitepoint/experiments/versions.py
@@ -1,4 +1,4 @@
-"""Module versions: the present program with the decision module of a git revision in it."""
+"""Module versions: source trees of the present program, with the decision module of a git revision."""
 
 from __future__ import annotations
 
@@ -13,73 +13,82 @@
 
 from granitepoint.fleet.experiment import ExperimentError
 
-PACKAGE = Path(__file__).resolve().parent.parent
-ROOT = PACKAGE.parent
-DEPLOY = "deploy/balancer.toml"
-# What goes in and out of the module, and what the package exports of both: a later one names events that an
-# earlier interface does not have.
-INTERFACE = ("granitepoint/interface.py", "granitepoint/__init__.py")
-PLAYS = ("emulator", "fleet")  # the packages that a cell's figures come from, beside the module
+PACKAGE_FOLDER = Path(__file__).resolve().parent.parent
+PROJECT_FOLDER = PACKAGE_FOLDER.parent
+DEPLOY_FILE = "deploy/balancer.toml"
+# The events and actions of the decision module, and the package's exports of them. They are replaced together
+# with the module, because later exports name events that an earlier interface does not have.
+INTERFACE_FILES = ("granitepoint/interface.py", "granitepoint/__init__.py")
+SIMULATION_PACKAGES = ("emulator", "fleet")  # besides the module, they determine the results of a cell
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """A tree to run from. `digest` stands for all text that its figures come from."""
+    """A source tree to run cells from."""
 
     root: Path
-    commit: str  # empty: the work tree
-    digest: str
+    commit: str  # of the decision module; empty: the work tree
+    digest: str  # of all source files that determine the results
 
 
-def _git(*words: str, root: Path) -> bytes:
-    done = subprocess.run(["git", *words], cwd=root, capture_output=True, check=False)
-    if done.returncode:
-        told = done.stderr.decode(errors="replace").strip().splitlines()
-        raise ExperimentError(told[-1] if told else f"git {words[0]} failed")
-    return done.stdout
+def _git(*arguments: str, root: Path) -> bytes:
+    completed = subprocess.run(["git", *arguments], cwd=root, capture_output=True, check=False)
+    if completed.returncode:
+        stderr_lines = completed.stderr.decode(errors="replace").strip().splitlines()
+        raise ExperimentError(stderr_lines[-1] if stderr_lines else f"git {arguments[0]} failed")
+    return completed.stdout
 
 
 def _digest(package: Path) -> str:
-    """Of the module and of all that plays it."""
-    text = hashlib.sha256()
-    files = [*package.glob("*.py"), *(path for name in PLAYS for path in (package / name).glob("*.py"))]
+    """Hashes the paths and contents of the decision module and of the packages that simulate its environment."""
+    hasher = hashlib.sha256()
+    files = [
+        *package.glob("*.py"),
+        *(path for name in SIMULATION_PACKAGES for path in (package / name).glob("*.py")),
+    ]
     policy = package / "policy"
     for path in sorted([*files, *policy.glob("*.py")]):
-        text.update(path.relative_to(package).as_posix().encode() + b"\0" + path.read_bytes() + b"\0")
-    return text.hexdigest()
+        hasher.update(path.relative_to(package).as_posix().encode() + b"\0" + path.read_bytes() + b"\0")
+    return hasher.hexdigest()
 
 
-def present() -> Version:
-    """The tree that this program runs from."""
-    return Version(ROOT, "", _digest(PACKAGE))
+def work_tree_version() -> Version:
+    """Returns the source tree of this program."""
+    return Version(PROJECT_FOLDER, "", _digest(PACKAGE_FOLDER))
 
 
 def policy_files(deploy: bytes) -> list[str]:
-    """The files of the module that a deploy file names, with its interface. Raises ExperimentError."""
+    """Returns the files of the decision module and its interface. `deploy` is the content of a deploy file.
+
+    Raises ExperimentError if it has no list of file names under `policy`.
+    """
     try:
-        named = tomllib.loads(deploy.decode("utf-8")).get("policy")
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as fault:
-        raise ExperimentError(f"{DEPLOY}: {fault}") from None
-    if not isinstance(named, list) or not all(isinstance(each, str) for each in named):
-        raise ExperimentError(f"{DEPLOY}: policy names no files")
-    return [*named, *INTERFACE]
+        names = tomllib.loads(deploy.decode("utf-8")).get("policy")
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise ExperimentError(f"{DEPLOY_FILE}: {error}") from None
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+        raise ExperimentError(f"{DEPLOY_FILE}: policy must be a list of file names")
+    return [*names, *INTERFACE_FILES]
+
 
+def version_at_revision(revision: str, folder: Path, root: Path = PROJECT_FOLDER) -> Version:
+    """Copies the package of the work tree at `root` to `folder`, with the decision module of a git revision.
 
-def at_revision(revision: str, into: Path, root: Path = ROOT) -> Version:
-    """A copy of the present package with the module of that revision. Raises ExperimentError."""
+    An existing copy of the same commit is used again. Raises ExperimentError.
+    """
     try:
-        told = _git("rev-parse", "--verify", "--quiet", f"{revision}^{{commit}}", root=root)
+        output = _git("rev-parse", "--verify", "--quiet", f"{revision}^{{commit}}", root=root)
     except ExperimentError:
         raise ExperimentError(f"no such revision: {revision}") from None
-    commit = told.decode().strip()
-    files = policy_files(_git("show", f"{commit}:{DEPLOY}", root=root))
-    copied = into / commit
-    package = copied / "granitepoint"
+    commit = output.decode().strip()
+    files = policy_files(_git("show", f"{commit}:{DEPLOY_FILE}", root=root))
+    copy_root = folder / commit
+    package = copy_root / "granitepoint"
     if not package.exists():
         shutil.copytree(root / "granitepoint", package, ignore=shutil.ignore_patterns("__pycache__"))
-        for path in policy_files((root / DEPLOY).read_bytes()):
-            (copied / path).unlink(missing_ok=True)
-        packed = _git("archive", commit, *files, root=root)
-        with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
-            archive.extractall(copied, filter="data")
-    return Version(copied, commit, _digest(package))
+        for path in policy_files((root / DEPLOY_FILE).read_bytes()):
+            (copy_root / path).unlink(missing_ok=True)
+        archive_bytes = _git("archive", commit, *files, root=root)
+        with tarfile.open(fileobj=io.BytesIO(archive_bytes)) as archive:
+            archive.extractall(copy_root, filter="data")
+    return Version(copy_root, commit, _digest(package))
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -27,7 +27,7 @@
     """Files in days/ are for the emulator, those in compare/ combine days with variants."""
     if path.parent.name == "compare":
         comparison = plan.load(path)
-        assert comparison.name == path.stem and plan.cells(comparison, path.parent)
+        assert comparison.name == path.stem and plan.expand_cells(comparison, path.parent)
     else:
         loaded = emulator_days.load(path) if path.parent.name == "days" else load(path)
         assert loaded.name == path.stem
