--- a/granitepoint/experiments/__init__.py
+++ b/granitepoint/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments: runs variants of the decision module and of settings on days and seeds, and reports the comparison.
+"""Experiments: run variants of the decision module and its settings on days and seeds, and compare them.
 
 The proxy imports nothing from this package.
 """
--- a/granitepoint/experiments/command.py
+++ b/granitepoint/experiments/command.py
@@ -23,7 +23,7 @@
 
 
 def totals_by_cell(results: Sequence[Result]) -> dict[tuple[str, str, int], Total]:
-    """Returns the totals of the cells that ran without an error, by variant, day and seed. Raises StoreError."""
+    """Returns the totals of the cells that ran without error, by variant, day and seed. Raises StoreError."""
     return {(r.variant, r.day, r.seed): r.total() for r in results if not r.fault}
 
 
@@ -51,8 +51,9 @@
     if not differences:
         return
     table = Table(
-        "variant", "figure", "unit", "pairs", plan.base, "less it", f"{paired.CONFIDENCE_PERCENT:g}% interval",
-        "verdict", title="differences, paired by day and seed", title_justify="left",
+        "variant", "figure", "unit", "pairs", plan.base, "less it",
+        f"{paired.CONFIDENCE_PERCENT:g}% interval", "verdict",
+        title="differences, paired by day and seed", title_justify="left",
     )  # fmt: skip
     for row in differences:
         table.add_row(
@@ -108,7 +109,10 @@
 
 
 def report(results: Path, out: Path | None) -> int:
-    """Writes the HTML page and its plots, by default to a folder beside the results. Returns the exit code."""
+    """Writes the HTML page and its plots to the folder `out`. Returns the exit code.
+
+    By default the folder has the path of the results file without its suffix.
+    """
     from granitepoint.experiments import page
 
     folder = out or results.with_suffix("")
--- a/granitepoint/experiments/paired.py
+++ b/granitepoint/experiments/paired.py
@@ -52,8 +52,8 @@
 def bootstrap_interval(strata: Sequence[Sequence[float]]) -> tuple[float, float]:
     """Returns the percentile bootstrap interval of the mean of all values, from a stratified resampling.
 
-    Each stratum holds the values of one day and is resampled on its own, because the variation between days is
-    not random variation that more seeds would reduce. Raises ValueError if there are no values.
+    Each stratum holds the values of one day and is resampled on its own: how days differ from each other is
+    not random variation that seeds could sample. Raises ValueError if there are no values.
     """
     samples = [np.asarray(values, dtype=float) for values in strata if len(values)]
     if not samples:
@@ -72,7 +72,7 @@
 def means(
     totals: Mapping[tuple[str, str, int], Total], variants: Sequence[str]
 ) -> list[tuple[str, str, int, list[float]]]:
-    """Returns a row for each day and variant: day, variant, number of cells, means in the order of FIGURES."""
+    """Returns a row per day and variant: day, variant, number of cells, and means in the order of FIGURES."""
     rows = []
     for day in sorted({key[1] for key in totals}):
         for variant in variants:
--- a/granitepoint/experiments/plan.py
+++ b/granitepoint/experiments/plan.py
@@ -17,7 +17,7 @@
 
 
 class Variant(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """One side of the comparison: a version of the decision module, and changes to the settings of each day."""
+    """One side of the comparison: a version of the decision module, and changes to each day's settings."""
 
     name: str
     revision: str = ""  # git revision of the decision module; empty: the work tree
@@ -68,7 +68,7 @@
     for number, variant in enumerate(plan.variants):
         path = f"variants[{number}]"
         _require(
-            VARIANT_NAME.fullmatch(variant.name), f"{path}.name", "must be 1 to 60 letters, digits, _ . -"
+            VARIANT_NAME.fullmatch(variant.name), f"{path}.name", "must be 1 to 60 letters, digits or _ . -"
         )
         _require(not variant.revision.startswith("-"), f"{path}.revision", "must not start with -")
     _require(not plan.baseline or plan.baseline in names, "baseline", f"no such variant: {plan.baseline}")
--- a/granitepoint/experiments/play.py
+++ b/granitepoint/experiments/play.py
@@ -34,11 +34,11 @@
 
 
 class RunStopped(Exception):
-    """The cell was killed because the whole run is being stopped; it has no result."""
+    """The whole run is being stopped: the cell has been killed and has no result."""
 
 
 class CellRunner:
-    """Runs each cell in its own process. The methods are called from several threads."""
+    """Runs each cell in its own process. The methods are called from different threads."""
 
     def __init__(self, max_duration: float) -> None:
         """`max_duration` is the limit of real time for one cell, in seconds."""
@@ -53,7 +53,7 @@
             process.kill()
 
     def run_cell(self, cell: Cell, version: Version) -> Result:
-        """Runs a cell and waits for its end. A failure or a timeout is part of the result. Raises RunStopped."""
+        """Runs a cell to its end. A failure or timeout is recorded in the result. Raises RunStopped."""
         started_at = time.monotonic()
         environ = {**os.environ, "PYTHONPATH": str(version.root)}
         process = subprocess.Popen(
@@ -101,12 +101,15 @@
 
 
 def cell_digest(cell: Cell, version: Version) -> str:
-    """Hashes everything that determines the results of a cell. A stored result with another digest is outdated."""
+    """Hashes all inputs that determine a cell's results; a stored result with another digest is outdated."""
     return sha256(version.digest.encode() + msgspec.json.encode(cell.configured_day)).hexdigest()
 
 
 def prepare_versions(plan: Experiment, folder: Path) -> dict[str, Version]:
-    """Returns the version of each variant by its name; copies of trees go to `folder`. Raises ExperimentError."""
+    """Returns the version of each variant, by the variant's name. Raises ExperimentError.
+
+    The source trees of versions at a git revision are written to `folder`.
+    """
     found: dict[str, Version] = {}
     for variant in plan.variants:
         found[variant.name] = (
--- a/granitepoint/experiments/plots.py
+++ b/granitepoint/experiments/plots.py
@@ -35,7 +35,7 @@
 
 
 def from_records(title: str, records: Sequence[EmulatorRecord]) -> CellRun:
-    """Selects the records to plot. `records` are those of one cell; the order of their types does not matter."""
+    """Selects the records to plot from all records of one cell, in the emulator's order."""
     return CellRun(
         title,
         [record for record in records if isinstance(record, tally.Window)],
@@ -112,7 +112,7 @@
             axes.set_title(title, loc="left", fontsize=9)
             axes.grid(alpha=0.25)
             axes.tick_params(labelsize=8)
-        # Both runs share a scale that starts at 0 and ends at min_scale or above: values near 0 must look small.
+        # Both runs share a scale from 0 to at least min_scale, so that values near 0 look small.
         row[0].set_ylim(0, max(row[0].get_ylim()[1], min_scale))
         row[0].set_ylabel(unit, fontsize=8)
         row[1].legend(fontsize=7, loc="upper left", bbox_to_anchor=(1.0, 1.0), frameon=False)
--- a/granitepoint/experiments/versions.py
+++ b/granitepoint/experiments/versions.py
@@ -40,7 +40,7 @@
 
 
 def _digest(package: Path) -> str:
-    """Hashes the paths and contents of the decision module and of the packages that simulate its environment."""
+    """Hashes the paths and contents of the decision module and of the packages that simulate its peers."""
     hasher = hashlib.sha256()
     files = [
         *package.glob("*.py"),
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -57,12 +57,12 @@
     return plan.expand_cells(plan.check(msgspec.toml.decode(text, type=plan.Experiment)), folder)
 
 
-def total(worth: float = 1.0, **changes: float) -> Total:
-    zero = dict.fromkeys(("in_time", "late", "refused", "failed", "timed_out", "left"), 0)
+def total(worth_served: float = 1.0, **changes: float) -> Total:
+    zero_counts = dict.fromkeys(("in_time", "late", "refused", "failed", "timed_out", "left"), 0)
     return Total(
-        requests=1, ends=zero, in_time_share=worth, worth_served=worth, worst_10_s=worth,
-        tries_per_request=1.0, attempts_per_request=1.0, calls=1, work_offered=1.0, work_done=1.0,
-        wasted=0.0, chokes=0, steps=1, breaks={},
+        requests=1, ends=zero_counts, in_time_share=worth_served, worth_served=worth_served,
+        worst_10_s=worth_served, tries_per_request=1.0, attempts_per_request=1.0, calls=1, work_offered=1.0,
+        work_done=1.0, wasted=0.0, chokes=0, steps=1, breaks={},
     )  # fmt: skip
 
 
@@ -205,26 +205,26 @@
     totals |= {("b", "d", n): total(0.52 + 0.1 * n) for n in range(5)}
     totals |= {("b", "d", 9): total(0.0)}  # the baseline has no such seed
     rows = {row.figure: row for row in paired.differences(totals, "a", ["a", "b"])}
-    worth = rows["worth served"]
-    assert (worth.variant, worth.pairs, worth.min_pairs_per_day) == ("b", 5, 5)
-    assert worth.mean == pytest.approx(2.0) and worth.base == pytest.approx(70.0)
-    assert worth.verdict == "told apart" and rows["tries"].verdict == ""
+    difference = rows["worth served"]
+    assert (difference.variant, difference.pairs, difference.min_pairs_per_day) == ("b", 5, 5)
+    assert difference.mean == pytest.approx(2.0) and difference.base == pytest.approx(70.0)
+    assert difference.verdict == "told apart" and rows["tries"].verdict == ""
     del totals["a", "d", 0]
     rows = {row.figure: row for row in paired.differences(totals, "a", ["a", "b"])}
     assert rows["worth served"].verdict == "too few seeds"
 
 
 def test_means_are_grouped_by_day_and_variant() -> None:
-    worth = {("b", "d", 1): 0.5, ("b", "d", 2): 0.7, ("a", "d", 1): 0.9, ("a", "c", 1): 1.0}
-    rows = paired.means({key: total(value) for key, value in worth.items()}, ["a", "b"])
+    worth_served = {("b", "d", 1): 0.5, ("b", "d", 2): 0.7, ("a", "d", 1): 0.9, ("a", "c", 1): 1.0}
+    rows = paired.means({key: total(value) for key, value in worth_served.items()}, ["a", "b"])
     assert [row[:3] for row in rows] == [("c", "a", 1), ("d", "a", 1), ("d", "b", 2)]
     served = [row[3][list(paired.FIGURES).index("worth served")] for row in rows]
     assert served == pytest.approx([100.0, 90.0, 60.0])
 
 
-def test_the_plotted_cells_are_the_pair_that_differs_most_or_the_best_and_the_worst() -> None:
-    worth = {"a1": 0.9, "b1": 0.8, "a2": 0.5, "b2": 0.7, "b3": 0.0}
-    totals = {(key[0], "d", int(key[1])): total(value) for key, value in worth.items()}
+def test_the_plotted_cells_are_the_most_different_pair_or_the_best_and_the_worst() -> None:
+    worth_served = {"a1": 0.9, "b1": 0.8, "a2": 0.5, "b2": 0.7, "b3": 0.0}
+    totals = {(key[0], "d", int(key[1])): total(value) for key, value in worth_served.items()}
     assert page.choose_cells(totals, "a", "d") == (("b", "d", 2), ("a", "d", 2))
     without_baseline = {key: value for key, value in totals.items() if key[0] == "b"}
     assert page.choose_cells(without_baseline, "a", "d") == (("b", "d", 1), ("b", "d", 3))
