--- a/granitepoint/experiments/cell.py
+++ b/granitepoint/experiments/cell.py
@@ -17,7 +17,7 @@
 
 
 def main() -> int:
-    """Returns the exit code: 1, after a line on standard error, if the day is invalid or the emulator fails."""
+    """Returns the exit code: 1, after a message on standard error, if the day is invalid or its run fails."""
     try:
         day = check(msgspec.json.decode(sys.stdin.buffer.read(), type=Day))
         records = World(day).run()
--- a/granitepoint/experiments/plots.py
+++ b/granitepoint/experiments/plots.py
@@ -85,9 +85,8 @@
         axes.plot(run.times, [window.latency.get(f"{name}_ms", 0.0) for window in run.windows], label=name)
 
 
-Panel = tuple[
-    str, str, float, Callable[[Axes, CellRun], None]
-]  # title, unit, min. upper end of the scale, plot
+# Title, unit, smallest upper end of the scale, and the function that plots a run.
+Panel = tuple[str, str, float, Callable[[Axes, CellRun], None]]
 PANELS: tuple[Panel, ...] = (
     ("arrivals", "requests/s", 1.0, _plot_arrivals),
     ("served in time, by class", "% of class", 100.0, _plot_in_time),
