--- a/granitepoint/admission.py
+++ b/granitepoint/admission.py
@@ -21,10 +21,11 @@
 # s, averaging time of the arrival rate and the latency: long compared to a call, short compared to an outage
 AVERAGING_TIME = 2.0
 MIN_SAMPLES = 10  # calls; with fewer in the latency or the recent utilities nothing is refused
-MAX_RECENT_UTILITIES = 300  # calls; the utility threshold then has an error of about 3 percentage points
+MAX_RECENT_UTILITIES = 300  # calls; the fraction refused then errs by about 3 percentage points
 MAX_RECENT_BUDGETS = 64  # calls of a class whose time budgets are kept, for their median
-# Of the latency objective: the time in which all but OVER_TARGET_FRACTION of the answers should come.
-TARGET_FRACTION = 0.35
+# Of the latency objective: the minimum of the target, in the first tier. The target is the time in which all
+# but OVER_TARGET_FRACTION of the answers should come.
+MIN_TARGET_FRACTION = 0.35
 # Of the concurrency limit: up to here no call is refused for its utility, and beyond it the limit may grow.
 UNRESTRICTED_FRACTION = 0.8
 OVER_TARGET_FRACTION = 0.2  # of the answers: the fraction over the target at which the limit does not move
@@ -47,7 +48,10 @@
 
 
 class ClassState:
-    """The settings of a class of requests and the statistics gathered about it."""
+    """The settings of a class of requests and the statistics gathered about it.
+
+    `deadline` is a duration: how long a client waits in total, over all its tries.
+    """
 
     def __init__(self, cls: RequestClass, stage: int) -> None:
         """`stage`: the index of the tier of this instance, from 0."""
@@ -58,14 +62,16 @@
         self.group, self.dedup_window = cls.group, cls.window
         self.late_answers_count = cls.late_worth > 0  # an answer past the objective still has some utility
         # Inner tiers have a lower target: a caller makes about two calls, one after the other, at each tier.
-        self.min_target_latency = TARGET_FRACTION * cls.aim * 0.5**stage
+        self.min_target_latency = MIN_TARGET_FRACTION * cls.aim * 0.5**stage
         # The target starts at its maximum, until the unloaded latency is known. Where an instance handles
         # about one call per second, too low a guess of the unloaded latency lowers the concurrency limit
         # although there is little load, and keeps it low.
         self.target_latency = MAX_TARGET_FRACTION * cls.aim
         self.unloaded_latency = math.inf  # the mean latency at low load
         self.mean_latency = RunningMean(self.min_target_latency / 2)
-        self.long_mean_latency = RunningMean(self.min_target_latency / 2)  # over more calls
+        self.long_mean_latency = RunningMean(
+            self.min_target_latency / 2
+        )  # over more answers, for unloaded_latency
         self.recent_budgets: deque[float] = deque(maxlen=MAX_RECENT_BUDGETS)
         self.median_budget, self.budgets_since_median = 0.0, 0
 
@@ -93,7 +99,10 @@
             )
 
     def record_budget(self, budget: float) -> float:
-        """Adds a time budget. Returns the median of the recent ones, which is not updated at each call."""
+        """Adds a time budget. Returns the median of the recent ones.
+
+        While few are known it is computed at each call, later only at every (MAX_RECENT_BUDGETS // 4)th.
+        """
         self.recent_budgets.append(budget)
         self.budgets_since_median += 1
         if (
@@ -160,8 +169,8 @@
     def set_min_limit(self, servers: int, balancers: int) -> None:
         """Lowers the minimum of the limit where there are many instances per server.
 
-        With more instances than servers, two calls of each instance would overload every server. Inner tiers
-        keep their minimum: a refusal there loses the work that was done above.
+        With more instances than servers, MIN_CONCURRENCY_LIMIT calls of each instance would overload every
+        server. Inner tiers keep their minimum: a refusal there loses the work done in the tiers above.
         """
         if self.stage == 0:
             self.min_concurrency_limit = min(
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -221,7 +221,7 @@
                 entries,
                 listing.version,
                 listing.written_after,
-                listing.ends_watch,
+                listing.answers_newest_call,
                 service_time=listing.queue_time,
             )
         )
--- a/granitepoint/interface.py
+++ b/granitepoint/interface.py
@@ -1,6 +1,7 @@
 """The input and output types of a Balancer: settings, events and actions, independent of any protocol.
 
-All times and durations are in seconds.
+All times and durations are in seconds. Points in time are on the clock of the event batches, the `now` of
+Balancer.handle. A call is a request in progress, with all attempts that an instance makes for it.
 """
 
 from __future__ import annotations
@@ -121,7 +122,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """The settings of an instance. Prices are in points per unit.
+    """The settings of an instance. Prices are in points per unit of what their comment names.
 
     Raises ValueError for a value out of range.
     """
@@ -170,16 +171,18 @@
     drain_grace: float = 0.0  # how long after its drain was announced a server may still get requests
     cold_from: float = 1.0  # the fraction of its capacity that a server has right after its start
     cold_for: float = 0.0  # the time until a started server has its full capacity
-    fall_multiple: float = 1.0  # the multiple of its present capacity that a cold server withstands
-    fall_within: float = 1.0  # the time for which it withstands more
-    price_crossing: float = 0.0
-    price_probe: float = 0.0
-    price_handshake: float = 0.0
-    price_connection: float = 0.0
-    price_waste: float = 0.0
-    price_late_fail: float = 0.0
-    price_peer: float = 0.0
-    price_discovery: float = 0.0
+    # A cold server crashes if the work that it gets within `fall_within` exceeds `fall_multiple` times what
+    # its reduced capacity can do in that time.
+    fall_multiple: float = 1.0
+    fall_within: float = 1.0
+    price_crossing: float = 0.0  # attempts across zones
+    price_probe: float = 0.0  # probes
+    price_handshake: float = 0.0  # new connections
+    price_connection: float = 0.0  # open connections
+    price_waste: float = 0.0  # wasted work
+    price_late_fail: float = 0.0  # failures after the objective
+    price_peer: float = 0.0  # messages to other instances
+    price_discovery: float = 0.0  # lists from discovery
 
     def __post_init__(self) -> None:
         """Checks the ranges of all values."""
@@ -232,7 +235,7 @@
     cell: int = 0
     state: ServerState = ServerState.SERVING
     weight: float = 1.0  # relative capacity
-    started_at: float = 0.0  # 0: long ago
+    started_at: float = 0.0  # the time of its last start; 0: long ago
 
 
 @dataclass(slots=True)
@@ -243,7 +246,7 @@
     entries: list[ServerEntry] = field(default_factory=list)
     version: int = 0
     written_after: float | None = None  # the earliest time at which it was written; None: just now
-    ends_watch: bool = True  # it answers the newest call; otherwise a later watch is still open
+    answers_newest_call: bool = True  # otherwise a later watch is still open
     failure: Failure | None = None  # FAILED only; None: derived from the duration of the call
     service_time: float | None = None  # time that discovery needed, without its hold; None: unknown
 
@@ -279,7 +282,7 @@
 class Arrival:
     """A request arrived."""
 
-    call: int  # the id of the call
+    call: int  # the id of the call that the request becomes
     class_name: str
     budget: float  # the time until the client gives up this try
     tenant: str = ""
@@ -298,7 +301,7 @@
     attempt: int  # the number of the attempt within the call
     server: int
     status: int  # a Status
-    elapsed: float
+    elapsed: float  # since the attempt was sent
     final: bool  # the call ended with this attempt
     report: dict[str, float] | None = None  # the load report of the server, by field name
     idle_for: float | None = None  # how long its connection had been idle; 0: it was new; None: unknown
@@ -311,7 +314,7 @@
     call: int
     attempt: int
     server: int
-    elapsed: float = 0.0
+    elapsed: float = 0.0  # since the attempt was sent
 
 
 @dataclass(slots=True)
@@ -327,7 +330,7 @@
 
     server: int
     status: int  # a Status
-    elapsed: float
+    elapsed: float  # since the probe was sent
     report: dict[str, float] | None = None  # the load report of the server, by field name
 
 
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -55,8 +55,8 @@
 MAX_POOL_SIZE = 16  # servers that an instance uses in all zones
 PRIOR_COUNT = 8.0  # samples: weight of the prior in the estimate of a server's capacity
 CAPACITY_SAMPLE_DECAY = 0.9  # factor applied to a server's older samples at each new one
-CAPACITY_DECAY_TIME = 30.0  # s, time constant of samples without new ones: a slow server is tried again
-PROBES_PER_CALL = 0.05  # probes per arriving call; each request makes several calls
+CAPACITY_DECAY_TIME = 30.0  # s, time constant with which samples decay, so that a slow server is tried again
+PROBES_PER_CALL = 0.05  # probes per arriving call; each request makes several calls, over all tiers
 MIN_PROBE_RATE = 0.3  # probes per s, so that an idle instance still has load reports of its servers
 MAX_LEASE_PROBE_DEBT = 5.0  # regular probes that health checks for leases may use up in advance
 INITIAL_PROBES = 8.0  # probes at the start, over all zones: without load reports all use the nearest servers
@@ -68,14 +68,14 @@
 ZONE_LOAD_SAMPLES = 10  # reports in a zone's mean load: a few seconds of probes at one call per second
 CROSSING_FACTOR = 3.0  # latency objectives per point of price_crossing, in the cost of another zone's server
 TAIL_ALLOWANCE = 2.0  # mean latencies that a call needs after its wait in the queue, for long tails
-RETRY_RATIO = 0.15  # further attempts per arriving call: a budget stops amplification across the tiers
-RETRY_BURST = 5.0  # further attempts that may be sent at once
-NEVER_RAN_RETRY_COST = 0.25  # further attempts that one after an attempt that never ran counts as
+RETRY_RATIO = 0.15  # retry tokens per arriving call: this budget stops amplification across the tiers
+RETRY_BURST = 5.0  # retry tokens that may be spent at once
+NEVER_RAN_RETRY_COST = 0.25  # retry tokens for a retry after an attempt that never ran; other retries take 1
 HEDGE_AGE = 4.0  # mean latencies after which an attempt counts as stuck
 HEDGE_RATIO = 0.15  # hedge tokens per arriving call, over all tiers; a token pays for the work of a mean call
 HEDGE_BURST = 5.0  # hedge tokens that may be spent at once
 MAX_HEDGE_WORK = 20.0  # hedge tokens charged at most: the mean may be a guess, or come from light calls
-HEDGE_TIME_LEFT = 3.0  # mean latencies left at which a stuck call is hedged: until then it may be answered
+HEDGE_TIME_LEFT = 3.0  # mean latencies; a stuck call with more useful time may yet be answered: no hedge
 BASE_EJECTION = 0.5  # s, the first ejection; it doubles each time, up to MAX_EJECTION
 MAX_EJECTION = 8.0  # s
 MAX_EJECTED_SHARE = 0.34  # of the pool, for slowness or errors; if more look unhealthy, none is the cause
@@ -86,14 +86,14 @@
 ERROR_EXCESS = 0.35  # error or failure rate above the pool's mean from which a server is at fault
 FAILURE_RATE_WEIGHT = 0.3  # weight of the newest answer in a server's failure rate, from 0 to 1, for a class
 FAILURE_RATE_DECAY_TIME = 5.0  # s, time constant of that rate without answers: the server is tried again
-COLD_BUDGET_SHARE = 0.5  # of the allowed multiple of a cold server's capacity, for all instances together
+COLD_BUDGET_SHARE = 0.5  # of Settings.fall_multiple: what all instances together send to a cold server
 PEAK_RATE_DECAY_TIME = 60.0  # s, of the peak send rate per unit of weight: long compared to a slow start
 STALE_LIST_JITTER = 2.0  # s over which instances spread their new watches: all suspect the list at once
 STALE_LIST_INTERVAL = 8.0  # s after a watch or a list before a stale list is suspected and the watch renewed
 MIN_IDLE_AGE = 0.2  # s; a connection that was idle for less was lost for another reason than its idleness
 IDLE_SAFETY_FACTOR = 0.7  # share of the age at which an idle connection was lost that is still used
-IDLE_DOUBLING = 15.0  # s in which the maximum idle age doubles again
-HIGH_CONNECT_COST = 1.5  # mean latencies for a new connection; above it any idle one is used, however old
+IDLE_RECOVERY = 15.0  # s, time constant with which the maximum idle age grows again after it was lowered
+HIGH_CONNECT_COST = 1.5  # mean latencies per new connection; if it costs more, old idle ones are used too
 MIN_CONNECT_COST = 0.3  # mean latencies by which a server with an open connection is preferred at least
 CONNECT_COST_SAMPLES = 30  # attempts over which new and open connections are compared
 LIST_WAIT_SHARE = 0.4  # share of a call's time for which it waits for a list with a valid lease
@@ -101,7 +101,7 @@
 START_DELAY_PER_INSTANCE = 0.02  # s of that period for each instance of each tier
 WATCH_PAUSE_FACTOR = 4.0  # longest pause after a failed watch, in multiples of Settings.must_ask_within
 ADVICE_FACTOR = 0.25  # latency estimates that a refused client is advised to wait
-TICK_TOKEN, PRE_SEND_TOKEN = 1, 2
+TICK_TOKEN, PRE_SEND_TOKEN = 1, 2  # SetTimer.token: for the next control step; for the end of PRE_SEND_WAIT
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949  # its multiples modulo 1 are evenly spread, for any count
 MAX_LATENCY_RATIO = 8.0  # most mean latencies that an attempt counts as; a failed one counts as that many
 
@@ -125,7 +125,7 @@
         self.idle_time = 0.0  # s for which the connection had not been used; 0: in use or new
         self.opened = False  # the connection was opened for this attempt
         self.charged_to_server = False  # has been counted in its server's slow_streak
-        self.hedged = False
+        self.hedged = False  # it was stuck, and a further attempt was requested for its call
         self.connection_stalled = False  # its connection is at fault, not its server
 
 
@@ -299,7 +299,7 @@
         self.reset_statistics()
 
     def update(self, entry: ServerEntry) -> None:
-        """Takes over what the list says of the server."""
+        """Copies what the list says of the server."""
         self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
         self.weight, self.started_at = max(entry.weight, 1e-3), entry.started_at
         self.slow_start_from = entry.started_at
@@ -309,17 +309,17 @@
         self.last_answer_at = -math.inf  # to a call or a probe, whatever it said
         self.broken_connections = 0  # connections broken or refused since that answer
         self.newest_served_sent_at = -math.inf  # when the newest of the calls that it has served was sent
-        self.load_sum = self.latency_sum = 0.0  # decaying sums over the capacity samples
+        self.load_sum = self.latency_sum = 0.0  # decaying sums over attempts: load, latency ratio
         self.error_rate = 0.0  # moving average
         self.failure_rates: dict[str, tuple[float, float]] = {}  # by class: failure rate, as of when
         self.smoothed_load = self.reported_load = 0.0  # calls: moving average of the reports; the last report
-        self.reported_at = -math.inf
+        self.reported_at = -math.inf  # when the last report came
         self.net_sends_since_report = 0  # own sends minus own answers
         self.slow_streak = 0  # stuck or timed-out attempts in a row
         self.used_at = -math.inf  # the last send or answer
         self.checked_at = -math.inf  # when the last health check that it passed was sent
         self.call_limit, self.call_limit_until = 0, 0.0  # applies while it is at its connection limit
-        self.connect_failures = 0  # failed connects since the last one that served
+        self.connect_failures = 0  # since the last new connection on which a call succeeded
         self.failed_probe_streak = 0
 
 
@@ -542,9 +542,9 @@
 
     def detect_idle_drop(self, attempt: Attempt, reset: bool) -> bool:
         """Whether an attempt failed because its idle connection had been dropped unnoticed on the way, and so
-        was reset at once (`reset`) or never answered. Then the connection is at fault: the server is not
-        ejected, and connections of that age are closed before use. Cost: if the server was at fault after
-        all, it gets one more call, and some good connections are replaced."""
+        was reset at once (`reset`) or never answered. Then the connection is at fault: connections of that
+        age are closed before use, and a reset does not eject the server. Cost: if the server was at fault
+        after all, it gets one more call, and some good connections are replaced."""
         if attempt.idle_time < MIN_IDLE_AGE or (not reset and attempt.server.last_ok >= attempt.sent_at):
             return False  # not idle for long, or just a slow call: the server has answered others since
         self.lower_max_idle_age(attempt.idle_time)
@@ -592,7 +592,7 @@
         server.net_sends_since_report = server.in_flight
 
     def record_report(self, server: Server, report: dict[str, float] | None, now: float) -> None:
-        """Takes over a load report; one without a finite `busy_reqs` of at least 0 is ignored."""
+        """Stores a load report; one without a finite `busy_reqs` of at least 0 is ignored."""
         load = report.get("busy_reqs") if report else None
         if load is None or not 0 <= load < math.inf:
             return
@@ -644,7 +644,7 @@
         instances = settings.balancers * settings.stages
         phase = (settings.me + settings.stage / settings.stages) * GOLDEN_RATIO_CONJUGATE % 1.0
         self.backoff = Backoff(self.random, max_pause, instances, phase)
-        self.last_notified_at = 0.0  # when the last list came or the last watch was started
+        self.last_list_or_watch_at = 0.0  # when the last list came or the last watch was started
         self.recheck_list_at = math.inf  # when to replace an active watch; inf: no need
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
@@ -728,9 +728,9 @@
             if event.kind is not ListKind.SAVED:
                 self.health_leases.confirm()
                 written_after = self.now if event.written_after is None else event.written_after
-                self.list_lease.on_list(written_after, self.now, event.ends_watch)
+                self.list_lease.on_list(written_after, self.now, event.answers_newest_call)
                 self.backoff.succeeded(event.service_time)
-                self.last_notified_at, self.recheck_list_at = self.now, math.inf
+                self.last_list_or_watch_at, self.recheck_list_at = self.now, math.inf
             self.servers.apply_list(event, self.now)
             self.admission.set_min_limit(len(self.servers.known), self.settings.balancers)
 
@@ -798,8 +798,8 @@
     def retry_after_advice(self) -> float:
         """Returns the wait that a refused client is advised, in s; 0: no advice.
 
-        By then the calls that fill the concurrency limit now have been answered. A client without advice
-        comes back sooner, into the same overload."""
+        By then some of the calls that fill the concurrency limit now have been answered. A client without
+        advice comes back sooner, into the same overload."""
         if not self.settings.may_advise_wait:
             return 0.0
         return min(self.settings.max_wait_advice, max(TICK, ADVICE_FACTOR * self.admission.latency_estimate))
@@ -1028,7 +1028,7 @@
             servers.mean_latency = max(admission.mean_latency.value, 1e-3)
         servers.refill_slow_start_tokens(now, span)
         servers.decay_capacity(span)
-        servers.max_idle_age = min(self.settings.conn_idle, servers.max_idle_age * (1 + span / IDLE_DOUBLING))
+        servers.max_idle_age = min(self.settings.conn_idle, servers.max_idle_age * (1 + span / IDLE_RECOVERY))
         self.send_due_probes(span)
         admission.update_threshold()
 
@@ -1036,7 +1036,7 @@
         """Starts a watch of discovery when none is active, or when the list is suspected to be stale."""
         if (not self.watch_active and self.now >= self.next_watch_at) or self.now >= self.recheck_list_at:
             self.watch_active = True
-            self.last_watch_call_at = self.last_notified_at = self.now
+            self.last_watch_call_at = self.last_list_or_watch_at = self.now
             self.recheck_list_at = math.inf
             self.actions.append(Watch(True))
 
@@ -1047,11 +1047,11 @@
         late; a new watch returns at once what was missed. Cost: where servers crash, each instance that sees
         it makes one more call to discovery, spread over time and no more than one in STALE_LIST_INTERVAL."""
         if self.settings.ask_for_list and self.watch_active and math.isinf(self.recheck_list_at):
-            earliest = max(self.now, self.last_notified_at + STALE_LIST_INTERVAL)
+            earliest = max(self.now, self.last_list_or_watch_at + STALE_LIST_INTERVAL)
             self.recheck_list_at = earliest + self.random.random() * STALE_LIST_JITTER
 
     def check_attempt_ages(self) -> None:
-        """Detects stuck attempts by their age, since a hung server never produces an outcome."""
+        """Detects stuck attempts by their age, since on a hung server they end only at their timeout."""
         now = self.now
         total_age = counted_attempts = 0.0
         stuck_attempts: list[Attempt] = []
@@ -1149,7 +1149,7 @@
     def send_due_probes(self, span: float) -> None:
         """Sends health checks for leases, probes that may end ejections, and regular probes for load reports.
 
-        Regular probes stop where calls probe their candidates. `interval`: s since the last control step."""
+        No regular probes where calls probe their candidates. `span`: s since the last control step."""
         if not self.settings.may_probe or not self.servers.pool:
             return
         now = self.now
--- a/granitepoint/membership/backoff.py
+++ b/granitepoint/membership/backoff.py
@@ -22,8 +22,8 @@
 
 from granitepoint.membership.evidence import Failure
 
-MAX_PAUSE = 60.0  # s
-MIN_ROUND_LENGTH = 4.0  # s between the starts of two calls that were queued
+MAX_PAUSE = 60.0  # s, the longest pause after a failure of any kind
+MIN_ROUND_LENGTH = 4.0  # s; a round lasts from the start of a call that was queued to the instance's next
 CONSTANT_ROUNDS = 2  # failures in a row before the rounds grow
 # s, the maximum length of a round while the service time is unknown, or where it would allow less.
 DEFAULT_MAX_ROUND_LENGTH = 8.0
@@ -39,7 +39,9 @@
     growth: float  # factor per failure in a row; for rounds only after the first CONSTANT_ROUNDS
     maximum: float
     min_fraction: float  # the lower bound of the random factor on the pause; the upper bound is 1
-    in_rounds: bool = False  # wait for the instance's phase in a round of at least this length
+    # The pause is the length of a round, and the call waits for the instance's phase in it. `maximum` and
+    # `min_fraction` do not apply.
+    in_rounds: bool = False
 
 
 OVERLOADED = PausePolicy(
@@ -70,8 +72,8 @@
         phase do not call at the same time."""
         self.random, self.max_pause, self.instances = random, max_pause, instances
         self.phase = (phase + random.random() / instances) % 1.0
-        self.failures = 0  # in a row, of calls that reached the service
-        self.round_started_at: float | None = None  # the first round starts when the service is lost
+        self.failures = 0  # in a row, of kinds whose pause grows
+        self.round_started_at: float | None = None  # the first one: at the first failure; None: none yet
         self.round_length = 0.0
         self.min_service_time = math.inf  # the shortest time that an answer took
 
@@ -82,8 +84,8 @@
         The shortest time that an answer took is an upper bound of the service time: it is longer if every
         call was queued. So the rounds may be longer than necessary, but not too short.
         """
-        time_for_all = MAX_ROUND_SERVICE_TIMES * self.min_service_time * self.instances
-        return min(self.max_pause, max(DEFAULT_MAX_ROUND_LENGTH, time_for_all))
+        max_from_service_time = MAX_ROUND_SERVICE_TIMES * self.min_service_time * self.instances
+        return min(self.max_pause, max(DEFAULT_MAX_ROUND_LENGTH, max_from_service_time))
 
     def succeeded(self, service_time: float | None = None) -> None:
         """Resets the number of failures and the rounds.
--- a/granitepoint/membership/evidence.py
+++ b/granitepoint/membership/evidence.py
@@ -13,7 +13,7 @@
 IMMEDIATE_FAILURE_TIME = 0.25  # s; a call that failed within it has not been queued
 MIN_QUEUE_TIME = 1.5  # s; a call that failed sooner was not rejected for having been queued for too long
 MAX_QUEUE_TIME = 3.0  # s; a call that was open for longer was no longer queued: discovery held it as a watch
-# s; the same if the previous answer was not queued, so that the queue is nearly empty.
+# s; the same if the call before it was not queued, so that the queue is nearly empty.
 MAX_SHORT_QUEUE_TIME = 2.5
 
 
@@ -25,15 +25,15 @@
     WATCH_CUT = "watch cut"  # the same soon after the watch started: discovery may have had a change to send
     IMMEDIATE = "at once"  # rejected or reset without a wait
     WAITED = "waited"  # discovery accepted the call and queued it; it may have sent changes to others
-    SILENT = "silent"  # no answer before the timeout
+    SILENT = "silent"  # no answer before a timeout, of the call or of its connection
     LOCAL_ERROR = "own fault"  # this machine could not make the call; this proves nothing about discovery
 
 
 def classify(waited: float, continued: bool, previous_unqueued: bool = False) -> Failure:
     """Classifies a call that was answered with an error, or whose connection ended, after `waited` seconds.
 
-    `continued`: the call continued a watch that had just been answered. `previous_unqueued`: that answer had
-    not been queued.
+    `continued`: the call continued a watch that had just been answered. `previous_unqueued`: the call
+    that this answer belonged to had not been queued.
     """
     if waited <= IMMEDIATE_FAILURE_TIME:
         return Failure.IMMEDIATE
--- a/granitepoint/membership/health_checks.py
+++ b/granitepoint/membership/health_checks.py
@@ -18,14 +18,14 @@
 from granitepoint.interface import ServerState
 
 LEASE_DURATION = (
-    5.5  # s; an instance counts as notified of a change after 6 s, even if it has not received it
+    5.5  # s; an instance counts as notified of a change after 6 s (list_lease.py), even without receiving it
 )
 # s, the same from the moment at which the instance counts as notified of every change at once.
 NOTIFIED_LEASE_DURATION = 1.0
 CUTOFF_MARGIN = 0.1  # s before that moment at which all earlier leases end
 RENEW_AFTER = 4.5  # s of a lease after which the next health check is due
 CHECK_RETRY_INTERVAL = 0.5  # s until a server that failed its health check is checked again
-MIN_LEASED_SERVERS = 2  # for one call: the first server that is checked may be the draining one
+MIN_LEASED_SERVERS = 2  # even for a single call: the first server that is checked may be the draining one
 
 
 class LeasedServer(Protocol):
@@ -90,19 +90,20 @@
     def due_checks(self, pool: Sequence[AnyLeasedServer], now: float, calls: int) -> list[AnyLeasedServer]:
         """The servers to send a health check to now, so that there are as many leases as open `calls`.
 
-        Leases of the servers that were used last are renewed. If there are too few leases, the other servers
-        are checked in turn.
+        `pool`: the servers that this instance uses. Leases of the most recently used ones are renewed. If
+        there are too few leases, the other servers are checked in turn. With any call open, there are to be
+        at least MIN_LEASED_SERVERS.
         """
         if not calls or not self.required(now + LEASE_DURATION - RENEW_AFTER):
             return []
-        wanted = max(MIN_LEASED_SERVERS, calls)
+        wanted_leases = max(MIN_LEASED_SERVERS, calls)
         usable = [s for s in pool if s.state is ServerState.SERVING and not s.ejected_until]
         leased = [s for s in usable if self._has_lease(s, now)]
         others = [s for s in usable if not self._has_lease(s, now)]
         leased.sort(key=lambda server: -server.used_at)
         others.sort(key=lambda server: server.probed_at)
-        missing = max(0, wanted - len(leased) - sum(server.probing for server in others))
-        to_renew = [s for s in leased[:wanted] if now - s.checked_at >= RENEW_AFTER]
+        missing = max(0, wanted_leases - len(leased) - sum(server.probing for server in others))
+        to_renew = [s for s in leased[:wanted_leases] if now - s.checked_at >= RENEW_AFTER]
         to_try = [s for s in others if not s.probing][:missing]
         return [s for s in (*to_renew, *to_try) if not s.probing and self._past_retry_interval(s, now)]
 
--- a/granitepoint/membership/list_lease.py
+++ b/granitepoint/membership/list_lease.py
@@ -1,8 +1,8 @@
-"""The lease on the list of servers: until when a proxy may send requests by the list that it has.
+"""The lease on the list of servers: until when a proxy may send requests to the listed servers.
 
 A proxy counts as notified of a change some seconds after discovery had the change and could be reached,
-whether its calls were answered or not. So a list may be used for that time after the latest moment up to
-which the proxy is known to have missed no change.
+whether its calls were answered or not: from then on it must not send according to an older list. So a list
+may be used for that time after the latest moment up to which the proxy is known to have missed no change.
 
 Only proof moves that moment forward: a list, a watch that stays open, or a discovery that nobody could reach.
 A queued call, silence, a passed health check or the passing of time proves nothing. Without a valid lease
@@ -17,10 +17,13 @@
 
 # s after which a proxy counts as notified of a change, from when discovery had it and could be reached.
 NOTIFIED_AFTER = 6.0
-NOTIFIED_AFTER_HOLD = 2.0  # s; the same for changes that a silent watch missed, from the end of its hold
+# s; the same for changes that a silent watch missed, from the end of the time discovery may hold it.
+NOTIFIED_AFTER_HOLD = 2.0
 MAX_WATCH_GAP = 0.2  # s between an answer and the next call that continues the same watch
-NOTIFIED_AFTER_MOVE = 4.0  # s; the same for all that the new address has, from the move
-GRACE_MARGIN = 0.1  # s of a drain's grace period that may pass between the decision and the first byte
+NOTIFIED_AFTER_MOVE = 4.0  # s; the same for all that a new address of discovery has, from the move
+# s by which the lease outlasts these times: the part of a drain's grace period that may pass between the
+# decision to send and the first byte.
+GRACE_MARGIN = 0.1
 
 
 class ListLease:
@@ -28,12 +31,13 @@
 
     def __init__(self, notified_after: float, confirmed: bool = False) -> None:
         """`notified_after`: the time after a change until the proxy counts as notified of it; 0 if lists are
-        pushed, infinite if there is no such time. `confirmed`: changes are received without a call."""
+        pushed, which are used only while a watch is open; infinite if there is no such time. `confirmed`:
+        every change is received without a call to discovery, so the lease never ends."""
         self.notified_after = notified_after
         self.confirmed = confirmed
         # Every change up to this time has been received. A new process knows of no such time.
         self.verified_until = -math.inf
-        self.answered_at = -math.inf
+        self.answered_at = -math.inf  # when the last list came; reset by a move
         # While a watch is open: until then the proxy does not count as notified of changes that it missed.
         self.watch_valid_until = -math.inf
         # When the proxy counts as notified of everything that the latest address has.
@@ -59,17 +63,17 @@
         return max(not_notified_until, self.watch_valid_until)
 
     def valid(self, now: float) -> bool:
-        """Whether requests may be sent by the list."""
+        """Whether requests may be sent to the listed servers."""
         return now <= self.expires_at
 
-    def on_list(self, written_after: float, answered_at: float, ends_watch: bool = True) -> None:
+    def on_list(self, written_after: float, answered_at: float, answers_newest_call: bool = True) -> None:
         """A list arrived that was written at `written_after` or later.
 
-        `ends_watch`: it answers the newest call.
+        `answers_newest_call`: otherwise a later watch is still open.
         """
         self.verified_until = max(self.verified_until, written_after)
         self.answered_at = answered_at
-        if ends_watch:
+        if answers_newest_call:
             self.watch_valid_until = -math.inf
         self.old_list_until = None
 
--- a/granitepoint/membership/start_times.py
+++ b/granitepoint/membership/start_times.py
@@ -4,9 +4,10 @@
 process started, so it does not tell how long ago that was: a server that has just started would be treated as
 warm.
 
-But a server is listed only after its start. So the clock of the lists is at least as far ahead as the newest
-start in a list, and every other start is placed relative to that one. The result is never earlier than the
-true start, and later by no more than the delay of the fastest list.
+But a server is listed only after its start. So the clock of the lists is ahead of the local one by at least
+the newest start in a list minus the local time at which the list came. All starts are converted by this
+offset. The result is never earlier than the true start, and later by no more than the delay of the fastest
+list.
 
 This assumes one clock for all servers. If the clock of one server is ahead, the others seem older than they
 are; for servers and starts that a later list names for the first time this is limited to MAX_NEW_START_AGE.
@@ -34,7 +35,7 @@
     """The starts that lists have named. Times are in seconds."""
 
     def __init__(self) -> None:
-        # By how much the clock of the lists is at least ahead of the local one, as far as known.
+        # Lower bound of the time by which the clock of the lists is ahead of the local one.
         self.min_clock_offset = -math.inf
         self.starts: dict[str, ServerStart] = {}
 
--- a/granitepoint/membership/version_history.py
+++ b/granitepoint/membership/version_history.py
@@ -36,8 +36,8 @@
         return self.version if self.last_change is None else self.last_change.base_version
 
     @property
-    def comparable(self) -> bool:
-        """Whether the answer of a new address can show that it has the same history."""
+    def can_be_verified(self) -> bool:
+        """Whether a change is known that the answer of a new address has to contain."""
         return self.last_change is not None
 
     def record(self, since_version: int | None, version: int, servers: Collection[int]) -> None:
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -276,7 +276,7 @@
             listing.written_after = (
                 max(call.started_at, now - MAX_READ_DELAY) if call.continued else call.started_at
             )
-            listing.ends_watch = call is self.newest_call
+            listing.answers_newest_call = call is self.newest_call
             listing.queue_time = self._queue_time(listing, call, waited)
             self.on_list(listing)
         except Exception as error:
@@ -326,7 +326,7 @@
         self.backoff.succeeded(listing.queue_time)
         if self.moving:
             self.moving = False
-            if not listing.full and not self.history.comparable:
+            if not listing.full and not self.history.can_be_verified:
                 self._verification_task = asyncio.get_running_loop().create_task(self._run_verification())
         servers = [listed.entry.server for listed in listing.backends]
         self.history.record(None if listing.full else call.since_version, listing.version, servers)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -271,7 +271,7 @@
             entries,
             listing.version,
             listing.written_after,
-            listing.ends_watch,
+            listing.answers_newest_call,
             service_time=listing.queue_time,
         )
 
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -38,7 +38,7 @@
     full: bool
     backends: list[ListedBackend]
     written_after: float | None = None  # monotonic; earliest time at which it was written; None: unknown
-    ends_watch: bool = True  # it answers the newest call of the watch; otherwise that call is still open
+    answers_newest_call: bool = True  # of the watch; otherwise that call is still open
     queue_time: float | None = None  # seconds in the queue of discovery; None: unknown, on a continued watch
 
 
--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -112,7 +112,7 @@
 def test_a_late_answer_on_an_older_watch_does_not_end_the_newer_one() -> None:
     lease = lease_after_list()
     lease.on_watch_opened(100.0, HOLD)
-    lease.on_list(101.0, 101.0, ends_watch=False)
+    lease.on_list(101.0, 101.0, answers_newest_call=False)
     assert lease.expires_at == 100.0 + HOLD + NOTIFIED_AFTER_HOLD + GRACE_MARGIN
 
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -35,9 +35,9 @@
 
 
 def test_the_last_change_is_requested_again() -> None:
-    assert history().request_from == 39 and history().comparable
+    assert history().request_from == 39 and history().can_be_verified
     unchanged = VersionHistory(40)
-    assert unchanged.request_from == 40 and not unchanged.comparable
+    assert unchanged.request_from == 40 and not unchanged.can_be_verified
 
 
 @pytest.mark.parametrize(
@@ -64,7 +64,7 @@
     after_large_change = history()
     after_large_change.record(40, 41, range(MAX_REPEATED_ENTRIES + 1))
     for versions in (after_full_list, after_large_change):
-        assert versions.request_from == 41 and not versions.comparable
+        assert versions.request_from == 41 and not versions.can_be_verified
         assert versions.is_continued_by(41, set()) and not versions.is_continued_by(40, set())
 
 
@@ -140,7 +140,7 @@
                 call.fail()
             (await peer.next(FULL_LIST_TARGET)).answer(1, endpoint("s-2", ADDRESS), snapshot=True)
             received = await peer.lists.get()
-            assert received.full and not received.ends_watch and peer.failures == 0
+            assert received.full and not received.answers_newest_call and peer.failures == 0
             assert client.confirmed and client._watch_task is not None and not client._watch_task.done()
             watched.answer(2, endpoint("s-2", ADDRESS, "Terminating"))
             await peer.next("/v1/servers?from=2&")
