--- a/granitepoint/__main__.py
+++ b/granitepoint/__main__.py
@@ -13,7 +13,7 @@
 
 from granitepoint.net import logs
 from granitepoint.net.config import Config, ConfigError, load, reload_discovery_address
-from granitepoint.net.driver import AT_CAPACITY_RETRY_AFTER, Driver
+from granitepoint.net.driver import AT_CAPACITY_RETRY_AFTER_S, Driver
 from granitepoint.net.server import Server
 
 log = logs.EventLogger("granitepoint.main")
@@ -27,7 +27,7 @@
 SHUTDOWN_CLOSING_S = 1.0  # last phase before that, in which each answer closes its connection
 SHUTDOWN_PARTIAL_REQUEST_S = 0.2  # in the last phase, for partial requests to become complete
 SHUTDOWN_POLL_INTERVAL_S = 0.01  # between checks whether every request is answered
-SHUTDOWN_LINGER_S = 1.0  # for the peers to receive the last answers
+SHUTDOWN_LINGER_S = 1.0  # after that, for the peers to receive the last answers
 
 
 async def drain(server: Server, driver: Driver) -> None:
@@ -82,15 +82,14 @@
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, terminated.set)
     driver = Driver(config)
-    over_limit_headers = driver.retry_after_headers(AT_CAPACITY_RETRY_AFTER)
+    over_limit_headers = driver.retry_after_headers(AT_CAPACITY_RETRY_AFTER_S)
     server = Server(driver.effects, driver, config.sockets, config.memory_mb, over_limit_headers)
-    loop.add_signal_handler(
-        signal.SIGHUP, reload, driver
-    )  # before the proxy is ready, and also during the shutdown
+    # SIGHUP is handled before the proxy is ready, and also during the shutdown.
+    loop.add_signal_handler(signal.SIGHUP, reload, driver)
     driver.start()
     await server.listen(*config.listen)
     log.info("listening", address="{}:{}".format(*config.listen), ready=driver.ready())
-    # Objects alive now live for ever: frozen, they don't lengthen later collections, which delay calls.
+    # These objects live until the process ends: frozen, they don't lengthen collections, which delay calls.
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -16,8 +16,9 @@
 from granitepoint import interface as api
 from granitepoint.logic import Balancer
 
-Fields = dict[str, str]
+Fields = dict[str, str]  # the name=value pairs of a line, or the path=value pairs of the settings
 
+# Values on the wire or in the settings -> values of the balancer.
 SERVER_STATES = {
     "SERVING": api.ServerState.SERVING,
     "DRAINING": api.ServerState.DRAINING,
@@ -29,13 +30,11 @@
     "INCREMENTAL": api.ListKind.INCREMENTAL,
     "FAILED": api.ListKind.FAILED,
 }
-
-
-REPORT_NAMES = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")
+REPORT_NAMES = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")  # of a load report
 WEIGHT_SOURCES = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
 UTILITY_UNITS = {"work": "work", "request": "request"}
 REPORT_CHANNELS = {"inline": "answer", "on_probe": "probe", "off": "none"}
-NON_EVENT_TAGS = ("m", "tick", "eor")
+NON_EVENT_TAGS = ("m", "tick", "eor")  # an error within a batch; other unknown tags are ignored
 
 
 class WireError(Exception):
@@ -303,6 +302,7 @@
     return api.PeerMessage(_int(fields, "author"), data)
 
 
+# Tag of a line -> function that reads the event.
 EVENT_READERS = {
     "ingress": _arrival,
     "settled": _outcome,
@@ -315,11 +315,12 @@
 
 
 def write_action(who: str, action: api.Action) -> str:
-    """Returns the line for an action of the instance `who`."""
+    """Returns the line for an action of the instance named `who`."""
     kind = type(action).__name__
     return ACTION_WRITERS[kind](who, action)
 
 
+# Class name of an action -> function that writes its line.
 ACTION_WRITERS: dict[str, Callable[[str, Any], str]] = {
     "Send": lambda w, a: f"try who={w} call={a.call} backend={a.server} allow_for={a.timeout:.6f}",
     "Refuse": lambda w, a: f"bounce who={w} call={a.call}"
@@ -343,11 +344,11 @@
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         self.source, self.sink = source, sink
         self.instances: dict[str, Balancer] = {}
-        self.lists: dict[int, list[api.ServerEntry]] = {}
-        self.pending: dict[str, list[api.Event]] = {}
-        self.replies: list[str] = []
-        self.line = ""
-        self.now = 0.0
+        self.lists: dict[int, list[api.ServerEntry]] = {}  # by slot
+        self.pending: dict[str, list[api.Event]] = {}  # events of the current batch, by instance
+        self.replies: list[str] = []  # lines that answer the current batch
+        self.line = ""  # the latest line read, for error messages
+        self.now = 0.0  # time of the current batch, in seconds
 
     def next_line(self) -> str | None:
         """Returns the next line, or None at the end of input. Raises WireError if the line is incomplete."""
@@ -439,7 +440,7 @@
         self.lists[slot] = entries
 
     def on_list(self, fields: Fields) -> None:
-        """Queues a server list for an instance."""
+        """Queues the server list in a slot, or the failure to get one, for an instance."""
         who = _text(fields, "who")
         scope = _text(fields, "scope")
         if scope not in LIST_KINDS:
--- a/granitepoint/cli/app.py
+++ b/granitepoint/cli/app.py
@@ -27,7 +27,7 @@
 from granitepoint.cli import schema as schema_module
 from granitepoint.net.config import ConfigError, load
 
-FAILED = 1  # exit code
+FAILED = 1  # exit code of an error that the user can't correct in the arguments or in a file
 OUTPUT_CLOSED = 141  # exit code when nobody reads the output: 128 + SIGPIPE (13), as shells report it
 HELP_EPILOGUE = (
     "Units: times are in seconds (s), rates per second (1/s), memory in MB of 2^20 bytes, bodies in KB of "
@@ -54,7 +54,7 @@
             stream.reconfigure(errors="backslashreplace")
     try:
         exit_code = app(arguments, exit_on_error=False, print_error=False, result_action="return_value")
-        print(end="", flush=True)
+        print(end="", flush=True)  # so that a write error is reported here
     except (cyclopts.CycloptsError, check_module.FileError, ConfigError) as error:
         return _print_error(str(error))
     except BrokenPipeError:
--- a/granitepoint/cli/check.py
+++ b/granitepoint/cli/check.py
@@ -25,7 +25,7 @@
 MAX_PATH_NAMES = 5  # names in a settings path: one more than settings.grades.0.name has
 MAX_VALUE_CHARS, MAX_ERROR_CHARS = 60, 200  # longest value, and longest text of an exception, in a message
 UNKNOWN, NO_EFFECT, DOUBTFUL, OUT_OF_RANGE = "unknown", "no effect", "doubtful", "out of range"
-# `run` takes an empty string for the default in these settings.
+# In these settings `run` replaces an empty string by the default.
 EMPTY_IS_DEFAULT = ("settings.weights", "settings.worth_by", "settings.report.via")
 
 
@@ -126,8 +126,8 @@
             raise ValueError(f"{abbreviate(text)} is not one of {', '.join(map(str, info.values))}")
         return text
     if isinstance(info, types.ListType):
-        words = info.item_type.values if isinstance(info.item_type, types.LiteralType) else None
-        return tuple(name for name in text.split(",") if name and (words is None or name in words))
+        allowed = info.item_type.values if isinstance(info.item_type, types.LiteralType) else None
+        return tuple(name for name in text.split(",") if name and (allowed is None or name in allowed))
     return text
 
 
@@ -171,18 +171,22 @@
     """Reads the flattened settings by the types in the schema. Records each error and continues after it."""
 
     def __init__(self, text_by_path: Mapping[str, str]) -> None:
+        """`text_by_path`: the flattened settings, their paths with `settings.` in front."""
         self.text_by_path, self.result = text_by_path, CheckResult([], [])
-        self.given_paths = _all_path_prefixes(text_by_path)
+        self.given_paths = _all_path_prefixes(text_by_path)  # including those of objects and list items
         self.read_paths: set[str] = set()  # paths that the schema has, present in the file or not
 
     def add_error(self, path: str, message: str) -> None:
+        """Adds a value out of range to the findings."""
         self.result.findings.append(Finding(OUT_OF_RANGE, path, message))
 
     def read_fields(self, fields: Iterable[types.Field], path: str) -> None:
+        """Reads the fields of the object at a path."""
         for field in fields:
             self.read_field(field, f"{path}.{field.encode_name}")
 
     def read_field(self, field: types.Field, path: str) -> None:
+        """Reads an object, a list of objects or a single value at a path."""
         info, extra = _split_metadata(field.type)
         if isinstance(info, types.StructType):
             self.read_fields(info.fields, path)
@@ -285,18 +289,22 @@
         self.raw, self.environ, self.result = raw, environ, CheckResult([], [])
 
     def add_error(self, path: str, message: str) -> None:
+        """Adds a value out of range to the findings."""
         self.result.findings.append(Finding(OUT_OF_RANGE, path, message))
 
     def report_unknown(self, keys: Iterable[str], struct: type[Struct], path: str) -> None:
+        """Reports each key that a type of the schema doesn't have; `path` goes before the key."""
         fields = {field.encode_name for field in _fields(struct)}
         for key in keys:
             if key not in fields:
                 self.result.findings.append(Finding(UNKNOWN, path + key, "no such key"))
 
     def add_row(self, path: str, value: Any, unit: str = "", source: str = "file") -> None:
+        """Adds a value in force."""
         self.result.rows.append(Row(path, value, unit, source))
 
     def read_addresses(self) -> None:
+        """Reads the addresses of the listener and of discovery."""
         for key in ("listen", "discovery"):
             variable = "EDGE_" + key.upper()
             override = self.environ.get(variable)
@@ -310,6 +318,7 @@
                 self.add_error(key, _error_text(error) + f" (from {variable})" * bool(override))
 
     def read_name(self) -> None:
+        """Reads the name of the proxy."""
         override = self.environ.get("EDGE_NAME")
         source = "EDGE_NAME" if override else "file" if "name" in self.raw else "default"
         try:
@@ -318,6 +327,7 @@
             self.add_error("name", "nested too deeply")
 
     def read_log_options(self) -> None:
+        """Reads the format and the level of the log from the environment."""
         for variable, default in (("EDGE_LOG_FORMAT", "text"), ("EDGE_LOG_LEVEL", "info")):
             override = self.environ.get(variable)
             try:
@@ -327,6 +337,7 @@
                 self.add_error(variable, _error_text(error))
 
     def read_random_seed(self) -> None:
+        """Reads the random seed."""
         seed = self.raw.get("seed", 0)
         try:
             value = parse_seed(seed)
@@ -337,13 +348,14 @@
             )
 
     def read_limits(self) -> None:
+        """Reads the limits of the process."""
         limits = self.raw.get("limits") or {}
         if not isinstance(limits, dict):
             self.add_error("limits", "not an object")
             return
-        soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        if soft == resource.RLIM_INFINITY:
-            soft = 1 << 20
+        soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        if soft_limit == resource.RLIM_INFINITY:
+            soft_limit = 1 << 20
         self.read_socket_limit(limits)
         self.read_memory_limit(limits)
         self.report_unknown(limits, schema.Limits, "limits.")
@@ -351,22 +363,24 @@
             self.result.findings.append(Finding(NO_EFFECT, "limits.cores", "enforced by the platform"))
 
     def read_socket_limit(self, limits: dict[str, Any]) -> None:
-        soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        if soft == resource.RLIM_INFINITY:
-            soft = 1 << 20
-        configured = limits.get("sockets", soft)
+        """Reads the limit of file descriptors; that of the process is an upper bound."""
+        soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        if soft_limit == resource.RLIM_INFINITY:
+            soft_limit = 1 << 20
+        configured = limits.get("sockets", soft_limit)
         try:
-            sockets = min(int(configured), soft)
+            sockets = min(int(configured), soft_limit)
         except (ValueError, TypeError, OverflowError):
             self.add_error("limits.sockets", f"{abbreviate(configured)} is not a whole number")
             return
         if sockets < 64:
             self.add_error("limits.sockets", f"{sockets} must be at least 64")
             return
-        source = "process limit" if "sockets" not in limits or int(configured) > soft else "file"
+        source = "process limit" if "sockets" not in limits or int(configured) > soft_limit else "file"
         self.add_row("limits.sockets", sockets, "descriptors", source)
 
     def read_memory_limit(self, limits: dict[str, Any]) -> None:
+        """Reads the memory limit in MB."""
         configured = limits.get("memory_mb", 192)
         try:
             memory = float(configured)
@@ -401,7 +415,7 @@
 
     def report_known_errors(self, known: dict[str, Any]) -> None:
         """Reports each unusable server of the list, and errors of the list itself."""
-        before = len(self.result.findings)
+        findings_before = len(self.result.findings)
         servers = known.get("endpoints")
         for number, server in enumerate(servers if isinstance(servers, list) else ()):
             try:
@@ -412,7 +426,7 @@
             read_listing({**known, "endpoints": []})
         except (ValueError, RecursionError) as error:
             self.add_error("known", _error_text(error))
-        if len(self.result.findings) == before:
+        if len(self.result.findings) == findings_before:
             self.add_error("known.endpoints", "missing, or not a list of servers")
 
 
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -59,7 +59,7 @@
     ])  # fmt: skip
 
 
-def _repeats(cls: RequestClass) -> str:
+def _retry_rule(cls: RequestClass) -> str:
     if cls.effect is Effect.REPEATABLE:
         return "a retry may go to any server"
     if cls.effect is Effect.ONCE:
@@ -70,10 +70,10 @@
 
 def _request_class(cls: RequestClass, settings: Settings) -> Section:
     class_state = admission.ClassState(cls, settings.stage)
-    answered_by = max(0.0, cls.deadline - driver.MIN_ANSWER_MARGIN)
-    held_until = max(0.0, answered_by - driver.BALANCER_MARGIN - logic.ANSWER_MARGIN)
+    answered_by = max(0.0, cls.deadline - driver.MIN_ANSWER_MARGIN_S)
+    held_until = max(0.0, answered_by - driver.BALANCER_MARGIN_S - logic.ANSWER_MARGIN)
     refusable_always = cls.effect is Effect.REPEATABLE or (cls.effect is Effect.BY_KEY and cls.group == "all")
-    extra_margin = driver.MAX_ANSWER_MARGIN - driver.MIN_ANSWER_MARGIN
+    extra_margin = driver.MAX_ANSWER_MARGIN_S - driver.MIN_ANSWER_MARGIN_S
     answered_by_meaning = f"at the latest; up to {extra_margin:g} s earlier under load"
     entries = [
         Entry("worth", cls.worth, "points", "under overload the lowest utility is refused first"),
@@ -99,7 +99,7 @@
             "the target at the start; later it is learned",
         ),
         Entry("attempts", settings.max_attempts, "attempts", "at most; the proxy sends one at a time"),
-        Entry("repeats", cls.effect.value, "", _repeats(cls)),
+        Entry("repeats", cls.effect.value, "", _retry_rule(cls)),
     ]
     if cls.effect is Effect.BY_KEY:
         entries.append(Entry("window", cls.window, SECONDS, "from the first attempt that may have run"))
@@ -113,7 +113,8 @@
     return Section("retries", [
         Entry("budget", logic.RETRY_RATIO, "attempts", "retries that each new request adds to the budget"),
         Entry("burst", logic.RETRY_BURST, "attempts", "retries that may be sent at once"),
-        Entry("never ran", logic.NEVER_RAN_RETRY_COST, "attempts", "cost of a retry after an attempt that never ran"),
+        Entry("never ran", logic.NEVER_RAN_RETRY_COST, "attempts",
+              "cost of a retry after an attempt that never ran"),
         Entry("cancel", settings.may_cancel, "", "whether a stuck attempt may be cancelled for another one"),
         Entry("advice", advice, SECONDS, "longest Retry-After of a refusal; 0: none is sent"),
     ])  # fmt: skip
@@ -143,7 +144,8 @@
     mean_share = 1 / len(pool) if pool else 0.0
     return Section("servers", [
         Entry("known", len(known), "servers", "in the list of the configuration file"),
-        Entry("used", len(pool), "servers", f"at most {logic.MAX_POOL_SIZE}; {logic.MAX_LOCAL_POOL_SIZE} of the own zone"),
+        Entry("used", len(pool), "servers",
+              f"at most {logic.MAX_POOL_SIZE}; {logic.MAX_LOCAL_POOL_SIZE} of the own zone"),
         Entry("cold for", settings.cold_for, SECONDS,
               f"slow start of a new server, from {settings.cold_from:g} of its capacity"),
         Entry("cold budget, first", _rounded(first_budget), "parts",
@@ -165,7 +167,7 @@
         Entry("least", logic.MIN_PROBE_RATE, PER_SECOND, "lowest rate of probes, also without requests"),
         Entry("for one call", logic.PRE_SEND_PROBES if balancer.probes_before_send else 0, "servers",
               "probed before the call is sent; 0: probes are too expensive"),
-        Entry("timeout", driver.PROBE_TIMEOUT, SECONDS, "after which a probe has failed"),
+        Entry("timeout", driver.PROBE_TIMEOUT_S, SECONDS, "after which a probe has failed"),
         Entry("at once", driver.MAX_CONCURRENT_PROBES, "probes", "in progress, at most"),
     ])  # fmt: skip
 
@@ -202,10 +204,12 @@
             ),
         ]
     else:
-        entries.append(Entry("asked again", discovery.PUSH_RETRY_DELAY, SECONDS, "after the end of a watch"))
+        entries.append(
+            Entry("asked again", discovery.PUSH_RETRY_DELAY_S, SECONDS, "after the end of a watch")
+        )
     entries += [
         Entry("held", discovery.HOLD_MS / 1000, SECONDS, "longest time for which discovery may hold a watch"),
-        Entry("renewed", discovery.RENEW_AFTER, SECONDS, "silence after which a second watch is opened"),
+        Entry("renewed", discovery.RENEW_AFTER_S, SECONDS, "silence after which a second watch is opened"),
         Entry(
             "must ask in",
             settings.must_ask_within,
@@ -219,23 +223,24 @@
 async def _connections_and_memory(config: Config) -> Section:
     """Reads the limits from a server and a connection pool that are created but never started."""
     handler: Any = None
-    listening = server.Server({}, handler, config.sockets, config.memory_mb)
+    caller_server = server.Server({}, handler, config.sockets, config.memory_mb)
     settings = config.settings
     max_connections = int(config.sockets * upstream.UPSTREAM_DESCRIPTOR_SHARE)
     upstreams = upstream.Upstreams(settings.connect_timeout, settings.conn_idle, max_connections)
-    reserve = min(server.RESERVED_DESCRIPTORS, config.sockets // 10)
-    extra = listening.max_connections - listening.max_served_connections
-    long_kb = server.LARGE_BODY_BYTES // 1024
+    reserved = min(server.RESERVED_DESCRIPTORS, config.sockets // 10)
+    over_limit = caller_server.max_connections - caller_server.max_served_connections
+    large_body_kb = server.LARGE_BODY_BYTES // 1024
     return Section("connections and memory", [
         Entry("descriptors", config.sockets, "descriptors", "that the process may have open"),
         Entry("to servers", upstreams.max_connections, "descriptors", "for connections to servers, at most"),
-        Entry("reserve", reserve, "descriptors", "for the listener, discovery, the event loop and the log"),
-        Entry("from callers", listening.max_served_connections, "descriptors",
-              f"for callers, at most; {extra} more connections are accepted only to be refused"),
+        Entry("reserve", reserved, "descriptors", "for the listener, discovery, the event loop and the log"),
+        Entry("from callers", caller_server.max_served_connections, "descriptors",
+              f"for callers, at most; {over_limit} more connections are accepted only to be refused"),
         Entry("memory", config.memory_mb, "MB", f"of these {server.BASE_MEMORY_MB} in use before it serves"),
         Entry("of a caller", server.CONNECTION_MEMORY_MB, "MB",
               "at most, for a connection: a request with its copy, and an answer"),
-        Entry("long requests", listening.max_large_requests, "requests", f"larger than {long_kb} KB, at a time"),
+        Entry("long requests", caller_server.max_large_requests, "requests",
+              f"larger than {large_body_kb} KB, at a time"),
         Entry("request", server.MAX_BODY_BYTES // 1024, "KB", "largest body of a request, and of an answer"),
         Entry("connect", settings.connect_timeout, SECONDS, "after which a connection attempt has failed"),
         Entry("idle", upstreams.idle_timeout, SECONDS,
@@ -260,7 +265,7 @@
 
 
 def explain(config: Config) -> list[Section]:
-    """Returns all sections. Raises ConfigError if the list of servers or a number can't be used."""
+    """Returns all sections. Raises ConfigError if the list of servers or a value can't be used."""
     settings = config.settings
     try:
         balancer = logic.Balancer(settings, config.seed)
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -176,9 +176,8 @@
     number: int
     instances: int
     seed: int
-    list_waits: list[float] = field(
-        default_factory=list
-    )  # from each start or move to the first list after it
+    # From each start or move to the first list after it.
+    list_waits: list[float] = field(default_factory=list)
     time_without_list: float = 0.0  # total time during which it had no list that it could use
     longest_without_list: float = 0.0  # longest such period
     list_awaited_since: float | None = None
@@ -192,7 +191,8 @@
         cls = api.RequestClass("read", worth=1, aim=0.2, deadline=0.5, late_worth=0.5)
         settings = api.Settings(
             classes=[cls], zone="a", balancers=self.instances // STAGE_COUNT, stages=STAGE_COUNT,
-            stage=self.number % STAGE_COUNT, me=self.number // STAGE_COUNT, ask_for_list=True, notified_after=NOTIFIED_AFTER,
+            stage=self.number % STAGE_COUNT, me=self.number // STAGE_COUNT, ask_for_list=True,
+            notified_after=NOTIFIED_AFTER,
         )  # fmt: skip
         self.seed += 1
         self.balancer = Balancer(settings, self.seed)
--- a/granitepoint/fleet/proxies.py
+++ b/granitepoint/fleet/proxies.py
@@ -20,7 +20,7 @@
 from granitepoint.net.listener import Listener
 from granitepoint.net.listing import Listing
 from granitepoint.net.server import ClientConnection, Reply, Request, Server
-from granitepoint.net.upstream import LAST_BYTE_DELAY, REUSE_DELAY, Exchange
+from granitepoint.net.upstream import LAST_BYTE_DELAY_S, REUSE_DELAY_S, Exchange
 
 # The stages of a call in the proxy, in order:
 #   read:     from the first byte read until the request is accepted
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.histograms = {name: Histogram() for name in (*STAGES, "whole")}
-        self.reuse_delays = 0  # calls that waited until REUSE_DELAY after their connection's previous answer
+        self.reuse_delays = 0  # calls that waited until REUSE_DELAY_S after their connection's previous answer
 
     def record(self, times: CallTimes, answered_at: float, written_at: float) -> None:
         """Adds a call whose answer was complete and written at these monotonic times."""
@@ -65,7 +65,7 @@
         for name, duration in zip(STAGES, durations, strict=True):
             self.histograms[name].add(duration)
         self.histograms["whole"].add(sum(durations))
-        self.reuse_delays += REUSE_DELAY / 2 < durations[3] < 3 * REUSE_DELAY
+        self.reuse_delays += REUSE_DELAY_S / 2 < durations[3] < 3 * REUSE_DELAY_S
 
 
 class TimedConnection(ClientConnection):
@@ -210,7 +210,7 @@
 
     def _on_connected(self, exchange: Exchange, times: CallTimes) -> None:
         times.connected_at = time.monotonic()
-        self.loop.call_later(LAST_BYTE_DELAY, self._check_last_byte, exchange, times)
+        self.loop.call_later(LAST_BYTE_DELAY_S, self._check_last_byte, exchange, times)
 
     def _check_last_byte(self, exchange: Exchange, times: CallTimes) -> None:
         if exchange.sent:
--- a/granitepoint/modelcheck/proxy.py
+++ b/granitepoint/modelcheck/proxy.py
@@ -253,7 +253,7 @@
             self.driver = driver.Driver(config)
             self.driver.discovery = Discovery()  # type: ignore[assignment]
             self.driver.balancer.list_lease.confirmed = True
-            advice = self.driver.retry_after_headers(driver.AT_CAPACITY_RETRY_AFTER)
+            advice = self.driver.retry_after_headers(driver.AT_CAPACITY_RETRY_AFTER_S)
             self.server = server.Server(self.driver.effects, self.driver, sockets, 64.0, advice)
             self.driver.start()
             self.server._sweep_later()
--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -15,8 +15,8 @@
 from granitepoint.interface import Settings
 from granitepoint.net import logs
 
-Address = tuple[str, int]
-MAX_SEED = 1 << 256  # exclusive, for either sign
+Address = tuple[str, int]  # host and port
+MAX_SEED = 1 << 256  # seeds are between -MAX_SEED and MAX_SEED, both excluded
 
 
 class ConfigError(Exception):
@@ -30,7 +30,7 @@
     name: str
     listen: Address
     discovery: Address
-    seed: int
+    seed: int  # of the random numbers
     sockets: int  # limit of open file descriptors
     memory_mb: float
     known: Mapping[str, Any]  # the last known list of servers, in discovery's format
@@ -55,7 +55,7 @@
 
 
 def flatten_settings(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
-    """Converts the settings object to the simulator's flat path=value pairs; one parser serves both."""
+    """Converts the settings object to the simulator's flat path=value pairs, as one parser reads both."""
     pairs = {} if into is None else into
     if isinstance(value, dict):
         for key, item in value.items():
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -28,22 +28,24 @@
 
 log = EventLogger(__name__)
 
-RENEW_AFTER = 18.0  # seconds without an answer after which a watch is opened anew: it may be dead
-HOLD_MS = 25_000  # for which discovery may hold a watch; what a dead one misses counts as notified 2 s later
-CONFIRM_HOLD_MS = 50  # the same until an answer confirms the list: before that nothing may be sent with it
-CONFIRM_TIMEOUT = 3.2  # seconds after which such a call counts as dead; queueing and hold take 2.5 s at most
-CALL_TIMEOUT = 4.0  # seconds in addition to the hold of a call; calls wait in the queue of discovery
-MIN_CALL_SPACING = 0.05  # seconds between two watches, for the case that discovery answers each at once
-# Seconds between tries to open a watch on pushed lists; short, as pushed changes count as notified at once.
-PUSH_RETRY_DELAY = 0.15
+RENEW_AFTER_S = 18.0  # without an answer; then a second watch is opened, as the first may be dead
+# For which discovery may hold a watch; what a dead watch misses counts as notified 2 s after the hold.
+HOLD_MS = 25_000
+CONFIRM_HOLD_MS = 50  # the same while the list is unconfirmed: until an answer comes it may not be used
+CONFIRM_TIMEOUT_S = 3.2  # after which such a call counts as dead; queueing and hold take 2.5 s at most
+CALL_TIMEOUT_S = 4.0  # in addition to the hold of a call; calls wait in the queue of discovery
+MIN_CALL_SPACING_S = 0.05  # between the starts of two calls of a watch, in case each is answered at once
+# Between tries to open a watch on pushed lists; short, as pushed changes count as notified at once.
+PUSH_RETRY_DELAY_S = 0.15
 PUSH_RETRY_JITTER = 0.5  # share by which that delay may be shorter, so that proxies don't retry in step
-MAX_READ_DELAY = 0.15  # seconds between the sending of an answer and its reading: latency and stalls
-MOVE_RETRY_AFTER = 3.5  # seconds after which the first call to a new address counts as dead, not as queued
-MAX_MOVE_TRIES = 15  # of that call, before the balancer is notified of the failure
-VERIFY_DELAY = 30.0  # seconds after a move; then a list that could not be compared is checked by a full one
-VERIFY_SPREAD = 90.0  # seconds over which the verifications of all proxies are spread
+MAX_READ_DELAY_S = 0.15  # between the sending of an answer and its reading: latency and stalls
+MOVE_RETRY_AFTER_S = 3.5  # after which the first call to a new address counts as dead, not as queued
+MAX_MOVE_TRIES = 15  # of that call, before the failure is reported to the balancer
+VERIFY_DELAY_S = 30.0  # after a move; then a list that could not be compared is checked by a full one
+VERIFY_SPREAD_S = 90.0  # over which the verifications of all proxies are spread
 TIMEOUT_JITTER = 0.15  # share by which timeouts of watches may be shorter, so that proxies don't call in step
 
+# Events that affect the lease on the list (see membership/list_lease.py).
 Evidence = WatchLost | WatchOpened | DiscoveryFailed
 
 
@@ -60,11 +62,11 @@
 
 
 class DiscoveryClient:
-    """Calls discovery when the balancer asks for it, and reports each list and each failed call.
+    """Calls discovery when the balancer requests it, and reports each list and each failed call.
 
     On its own it only keeps a watch going: it makes the next call when one has been answered, or got no
     answer in time, retries the first call to a new address, and verifies the list after a move. Where lists
-    are pushed the balancer never asks, and a watch that fails is opened again at once.
+    are pushed the balancer requests nothing, and a watch that fails is opened again at once.
     """
 
     def __init__(
@@ -122,8 +124,8 @@
     def move(self, address: Address) -> None:
         """Uses another address of discovery from now on, and ignores what the old one still sends.
 
-        The new address is asked at once for the changes since the current version, not for a full list. All
-        proxies move together, and full lists for all of them would take longer than the time after which
+        The first call to the new address requests the changes since the current version, not the full list.
+        All proxies move together, and full lists for all of them would take longer than the time after which
         changes count as notified.
         """
         self.stop()
@@ -135,6 +137,7 @@
     def _watch_lost(
         self, notified_within: float = math.inf, moved: bool = False, silent: bool = False
     ) -> None:
+        """Reports a lost watch; what it misses counts as notified within `notified_within` seconds."""
         self.confirmed = False
         self.on_evidence(WatchLost(notified_within, moved, silent))
 
@@ -153,15 +156,15 @@
         self._watch_task = self._verification_task = None
 
     def _close_watch_calls(self) -> None:
-        for call in self._watch_calls:
-            call.cancel()
+        for task in self._watch_calls:
+            task.cancel()
         self._watch_calls.clear()
 
     async def _run_watch(self) -> None:
         """Makes the calls of a watch, one after another.
 
         A dead watch can't be told from a list that does not change. So a call that is not answered within
-        RENEW_AFTER is followed by another one beside it, early enough for a retry before what a dead watch
+        RENEW_AFTER_S is followed by another one beside it, early enough for a retry before what a dead watch
         has missed counts as notified. The earlier call stays open until it ends, as discovery may still
         answer it.
         """
@@ -173,7 +176,11 @@
                 started_at, was_moving = loop.time(), self.moving
                 hold = (HOLD_MS if self.confirmed else CONFIRM_HOLD_MS) / 1000
                 timeout = (
-                    MOVE_RETRY_AFTER if was_moving else RENEW_AFTER if self.confirmed else CONFIRM_TIMEOUT
+                    MOVE_RETRY_AFTER_S
+                    if was_moving
+                    else RENEW_AFTER_S
+                    if self.confirmed
+                    else CONFIRM_TIMEOUT_S
                 )
                 continued = time.monotonic() - self.last_answer_at <= MAX_WATCH_GAP
                 call = DiscoveryCall(
@@ -182,7 +189,7 @@
                 self.newest_call = call
                 if not was_moving:
                     self.on_evidence(WatchOpened(call.started_at, hold))
-                newest_task = loop.create_task(self._make_call(channel, hold + CALL_TIMEOUT, call))
+                newest_task = loop.create_task(self._make_call(channel, hold + CALL_TIMEOUT_S, call))
                 calls[newest_task] = channel
                 await asyncio.wait([newest_task], timeout=self._shortened(timeout, TIMEOUT_JITTER))
                 for older in [older for older in calls if older.done() and older is not newest_task]:
@@ -197,7 +204,7 @@
                     continue
                 del calls[newest_task]
                 if newest_task.result():
-                    await asyncio.sleep(max(0.0, started_at + MIN_CALL_SPACING - loop.time()))
+                    await asyncio.sleep(max(0.0, started_at + MIN_CALL_SPACING_S - loop.time()))
                     continue
                 self._watch_lost()
                 ended_at = time.monotonic()
@@ -205,7 +212,7 @@
                     DiscoveryFailed(self.last_failure, call.started_at, ended_at, older_call_open=bool(calls))
                 )
                 if self.pushed:
-                    await asyncio.sleep(self._shortened(PUSH_RETRY_DELAY, PUSH_RETRY_JITTER))
+                    await asyncio.sleep(self._shortened(PUSH_RETRY_DELAY_S, PUSH_RETRY_JITTER))
                 elif calls or (was_moving and tries < MAX_MOVE_TRIES):
                     await asyncio.sleep(self.backoff.failed(self.last_failure, ended_at))
                 else:
@@ -228,7 +235,7 @@
         channel = Channel()
         try:
             if not await self._make_call(
-                channel, CALL_TIMEOUT, DiscoveryCall(time.monotonic(), is_watch=False)
+                channel, CALL_TIMEOUT_S, DiscoveryCall(time.monotonic(), is_watch=False)
             ):
                 self.on_failed()
         finally:
@@ -238,11 +245,11 @@
         """Requests the full list at a quiet time, until it arrives."""
         received = False
         while not received:
-            await asyncio.sleep(VERIFY_DELAY + VERIFY_SPREAD * self.random.random())
+            await asyncio.sleep(VERIFY_DELAY_S + VERIFY_SPREAD_S * self.random.random())
             channel = Channel()
             try:
                 received = await self._make_call(
-                    channel, CALL_TIMEOUT, DiscoveryCall(time.monotonic(), is_watch=False)
+                    channel, CALL_TIMEOUT_S, DiscoveryCall(time.monotonic(), is_watch=False)
                 )
             finally:
                 channel.close()
@@ -274,7 +281,7 @@
             # Discovery writes the answer of a continued watch when something changes, and that of another
             # call when its turn in the queue comes.
             listing.written_after = (
-                max(call.started_at, now - MAX_READ_DELAY) if call.continued else call.started_at
+                max(call.started_at, now - MAX_READ_DELAY_S) if call.continued else call.started_at
             )
             listing.ends_watch = call is self.newest_call
             listing.queue_time = self._queue_time(listing, call, waited)
--- a/granitepoint/net/discovery_channel.py
+++ b/granitepoint/net/discovery_channel.py
@@ -10,8 +10,8 @@
 from granitepoint.membership.evidence import Failure, classify
 from granitepoint.net.config import Address
 
-CONNECT_TIMEOUT = 1.0  # seconds
-MAX_ANSWER_BYTES = 8 << 20
+CONNECT_TIMEOUT_S = 1.0
+MAX_ANSWER_BYTES = 8 << 20  # on the wire, and of the body alone
 
 
 class Channel(asyncio.Protocol):
@@ -25,14 +25,18 @@
         self.bytes_received = 0  # of the current answer, on the wire
         self.request_sent = False  # of the current call; a later failure was caused by discovery, not locally
 
+    # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Stores the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop has its own class
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fails the call in progress, if there is one."""
         self.transport = self.parser = None
         self._fail(ConnectionError("discovery closed the connection"))
 
     def data_received(self, data: bytes) -> None:
+        """Parses data; after malformed or unexpected data the call fails and the connection is closed."""
         self.bytes_received += len(data)
         try:
             if self.answer is None or self.answer.done() or self.bytes_received > MAX_ANSWER_BYTES:
@@ -42,12 +46,15 @@
             self._fail(ValueError(f"malformed answer: {error}"))
             self.close()
 
+    # parser callbacks
     def on_body(self, chunk: bytes) -> None:
+        """Adds a part of the body. Raises ValueError above the size limit."""
         self.body += chunk
         if len(self.body) > MAX_ANSWER_BYTES:
             raise ValueError("the answer is too large")
 
     def on_message_complete(self) -> None:
+        """Ends the call with its complete answer."""
         if self.answer is not None and not self.answer.done():
             self.answer.set_result((self.parser.get_status_code(), bytes(self.body)))
         if not self.parser.should_keep_alive():
@@ -74,7 +81,7 @@
         try:
             async with asyncio.timeout(timeout):
                 if self.transport is None:
-                    async with asyncio.timeout(CONNECT_TIMEOUT):
+                    async with asyncio.timeout(CONNECT_TIMEOUT_S):
                         await loop.create_connection(lambda: self, *address)
                 assert self.transport is not None
                 self.parser = httptools.HttpResponseParser(self)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -26,8 +26,8 @@
 from granitepoint.net.server import Headers, Reply, Request
 from granitepoint.net.upstream import (
     HOP_BY_HOP_HEADERS,
-    NEXT_LOOP_ITERATION,
-    STALL_THRESHOLD,
+    NEXT_LOOP_ITERATION_S,
+    STALL_THRESHOLD_S,
     UPSTREAM_DESCRIPTOR_SHARE,
     Exchange,
     Upstream,
@@ -36,22 +36,22 @@
 
 log = EventLogger(__name__)
 
-# Seconds before the caller's deadline at which the answer of a call leaves at the latest. The maximum applies
-# when the event loop lags.
-MIN_ANSWER_MARGIN = 0.02
-MAX_ANSWER_MARGIN = 0.15
-BALANCER_MARGIN = 0.02  # seconds between the balancer's deadline for a call and the driver's own
-# Upper limit of MIN_ANSWER_MARGIN and BALANCER_MARGIN, as a share of the call's time: along a chain of calls
-# the margins of all proxies add up.
+# An answer is sent at least this long before the caller's deadline. The margin grows with the lag of the
+# event loop, up to the maximum.
+MIN_ANSWER_MARGIN_S = 0.02
+MAX_ANSWER_MARGIN_S = 0.15
+BALANCER_MARGIN_S = 0.02  # between the balancer's deadline for a call and the driver's later one
+# Upper limit of MIN_ANSWER_MARGIN_S and BALANCER_MARGIN_S, as a share of the call's budget: along a chain of
+# calls the margins of all proxies add up.
 MAX_MARGIN_SHARE = 0.02
 LAG_DECAY = 0.995  # factor by which the measured event loop lag decays at each timer
-AT_CAPACITY_RETRY_AFTER = 1.0  # seconds; Retry-After of a call that is refused at the limit of open calls
+AT_CAPACITY_RETRY_AFTER_S = 1.0  # Retry-After of a refusal at the limit of open calls or connections
 MAX_CONCURRENT_PROBES = 32
-MAX_REPORT_VALUE = 1e6  # a larger load is implausible, and would outweigh the reports of all other servers
-PROBE_TIMEOUT = 0.2  # seconds; a later report is too old to be useful
+MAX_REPORT_VALUE = 1e6  # in any unit; a larger value is implausible, and would outweigh all other reports
+PROBE_TIMEOUT_S = 0.2  # a later report is too old to be useful
 DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {b"x-load-report", b"x-rejected"}  # of answers; not sent to callers
-READY_TIMEOUT = 5.0  # seconds after the start; then a proxy is ready even without a list, and refuses calls
-STATISTICS_INTERVAL = 5.0  # seconds between two log lines of statistics
+READY_TIMEOUT_S = 5.0  # after the start; then a proxy is ready even without a list, and refuses calls
+STATISTICS_INTERVAL_S = 5.0  # between two log lines of statistics
 # Names of the fields of a load report: on the wire -> in the balancer.
 REPORT_FIELDS = {
     "inflight": "busy_reqs", "queue": "pending", "util": "cpu_share",
@@ -94,11 +94,12 @@
     )
 
     def __init__(self, number: int, request: Request, reply: Reply, deadline: float) -> None:
+        """`number` identifies the call to the balancer; `deadline` is monotonic, in seconds."""
         self.number, self.request, self.reply, self.deadline = number, request, reply, deadline
-        self.open = True
-        self.attempts = 0
+        self.open = True  # not answered, and its caller has not disconnected
+        self.attempts = 0  # number of attempts started so far
         self.may_have_run = False  # an ended attempt may have been executed by a server
-        self.exchange: Exchange | None = None
+        self.exchange: Exchange | None = None  # the attempt in flight
         self.timer: asyncio.TimerHandle | None = None
 
 
@@ -123,16 +124,16 @@
         self.calls: dict[int, OpenCall] = {}
         self.in_flight: dict[int, Exchange] = {}  # attempts by call, also those whose caller has left
         self.active_ids: set[bytes] = set()  # request ids of open calls and of attempts in flight
-        self.calls_taken = 0
+        self.calls_taken = 0  # accepted since the start; also the number of the latest call
         self.probes_in_flight = 0
-        self.events: list[api.Event] = []
-        self.flush_handle: asyncio.Handle | None = None
-        self.last_flush_at = 0.0
+        self.events: list[api.Event] = []  # the next batch for the balancer
+        self.flush_handle: asyncio.Handle | None = None  # of the flush that is due
+        self.last_flush_at = 0.0  # monotonic
         self.shutdown_deadline = math.inf  # monotonic; all calls are answered by then when the process stops
         self.debug_enabled = log.debug_enabled  # log lines for each request are wanted
         self.counts: Counter[str] = Counter()  # events and outcomes since the last statistics line
         self.loop_lag = 0.0  # seconds; decaying maximum of the delay of timers
-        self.on_drained: Callable[[], None] | None = None
+        self.on_drained: Callable[[], None] | None = None  # called when no call is open any more
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
             api.Refuse: self._refuse,
@@ -169,14 +170,14 @@
         self.events.append(self._server_list(known, api.ListKind.SAVED))
 
     def start(self) -> None:
-        """Hands the saved list to the balancer and starts the statistics timer."""
+        """Delivers the saved list to the balancer and starts the statistics timer."""
         self._flush()
-        if self.discovery.pushed:  # pushed lists arrive on a watch, which the balancer does not ask for
+        if self.discovery.pushed:  # pushed lists arrive on a watch, which the balancer does not request
             self.discovery.watch(True)
-        self.loop.call_later(STATISTICS_INTERVAL, self._on_statistics_due)
+        self.loop.call_later(STATISTICS_INTERVAL_S, self._on_statistics_due)
 
     def _on_statistics_due(self) -> None:
-        self.loop.call_later(STATISTICS_INTERVAL, self._on_statistics_due)
+        self.loop.call_later(STATISTICS_INTERVAL_S, self._on_statistics_due)
         self.log_statistics()
 
     def log_statistics(self) -> None:
@@ -194,13 +195,20 @@
             )
             log.info(
                 "figures",
-                window=admission.window, latency_s=admission.latency_estimate, rate_per_s=admission.arrival_rate,
-                cut=admission.utility_threshold, out=self.balancer.busy, held=len(self.balancer.queue),
+                window=admission.window, latency_s=admission.latency_estimate,
+                rate_per_s=admission.arrival_rate, cut=admission.utility_threshold, out=self.balancer.busy,
+                held=len(self.balancer.queue),
                 list_confirmed=int(self.balancer.health_leases.confirmed),
                 list_lease_s=self.balancer.list_lease.expires_at - time.monotonic(),
                 **{f"servers.{state}": count for state, count in sorted(states.items())},
-                **{f"target.{class_state.name}_s": class_state.target_latency for class_state in class_states},
-                **{f"mean.{class_state.name}_s": class_state.mean_latency.value for class_state in class_states},
+                **{
+                    f"target.{class_state.name}_s": class_state.target_latency
+                    for class_state in class_states
+                },
+                **{
+                    f"mean.{class_state.name}_s": class_state.mean_latency.value
+                    for class_state in class_states
+                },
                 **{name.replace(" ", "."): count for name, count in sorted(counts.items())},
             )  # fmt: skip
 
@@ -220,6 +228,7 @@
                 self.flush_handle = self.loop.call_soon(self._flush)
 
     def _flush(self) -> None:
+        """Gives the queued events to the balancer and carries out its actions."""
         self.flush_handle = None
         now = self.last_flush_at = time.monotonic()
         events, self.events = self.events, []
@@ -234,9 +243,9 @@
                 self.action_handlers[type(action)](action)
             except Exception:
                 log.exception("action_failed", action=str(action))
-                number = getattr(action, "call", None)
-                if number is not None:
-                    self._answer_internal_error(number)
+                call_number = getattr(action, "call", None)
+                if call_number is not None:
+                    self._answer_internal_error(call_number)
 
     def _update_list_usable(self, now: float) -> None:
         list_usable = self.balancer.list_lease.valid(now)
@@ -249,7 +258,7 @@
             )  # fmt: skip
 
     def _handle_balancer_failure(self, events: list[api.Event]) -> None:
-        """The balancer raised an exception: answers the calls of the batch with 502, repeats its timers."""
+        """Answers with 502 the calls of a batch that the balancer failed to handle, and repeats its timers."""
         log.exception("module_failed", events=len(events))
         for event in events:
             if isinstance(event, api.Arrival | api.Outcome):
@@ -257,11 +266,11 @@
             elif isinstance(event, api.Timer):
                 self._set_timer(api.SetTimer(0.05, event.token))
 
-    def _answer_internal_error(self, number: int) -> None:
-        call = self.calls.get(number)
+    def _answer_internal_error(self, call_number: int) -> None:
+        call = self.calls.get(call_number)
         if call is not None:
             self._answer(call, 502, (), b"internal error\n")
-            self._enqueue(api.Gone(number))
+            self._enqueue(api.Gone(call_number))
 
     @staticmethod
     def _server_list(listing: Listing, kind: api.ListKind) -> api.ServerList:
@@ -291,19 +300,19 @@
 
     def _on_idle_connection_closed(self, upstream: Upstream, idle_for: float) -> None:
         for server, listed in self.upstreams.by_id.items():
-            if listed is upstream and upstream.serving:  # a draining server closes them all
+            if listed is upstream and upstream.serving:  # a draining server closes all its connections
                 self._enqueue(api.IdleConnectionClosed(server, idle_for))
 
-    # the callers' side
+    # calls
     def ready(self) -> bool:
         """Returns whether calls sent to this proxy can be served.
 
         A new process does not know how old its saved list is. So it becomes ready when discovery has sent a
-        list, or after READY_TIMEOUT, so that nobody waits for it forever while discovery is unreachable.
+        list, or after READY_TIMEOUT_S, so that nobody waits for it forever while discovery is unreachable.
         """
         now = time.monotonic()
         lease = self.balancer.list_lease
-        self.was_ready = self.was_ready or lease.valid(now) or now > self.started_at + READY_TIMEOUT
+        self.was_ready = self.was_ready or lease.valid(now) or now > self.started_at + READY_TIMEOUT_S
         return self.was_ready and self.upstreams.ready
 
     def on_request(self, request: Request, reply: Reply) -> OpenCall | None:
@@ -313,7 +322,7 @@
             reply.answer(409, (), b"this X-Call-Id is in use\n")
             return None
         if self.settings.most_held and len(self.calls) >= self.settings.most_held:
-            reply.answer(503, self.retry_after_headers(AT_CAPACITY_RETRY_AFTER), b"too many calls\n")
+            reply.answer(503, self.retry_after_headers(AT_CAPACITY_RETRY_AFTER_S), b"too many calls\n")
             return None
         self.calls_taken += 1
         self.counts["calls"] += 1
@@ -324,7 +333,7 @@
         # The deadline of the class also limits a client that states a longer budget.
         stated_budget = min(request.budget, self.deadlines[request.cls])
         max_margin = MAX_MARGIN_SHARE * stated_budget
-        margin = min(MAX_ANSWER_MARGIN, min(MIN_ANSWER_MARGIN, max_margin) + 2 * self.loop_lag)
+        margin = min(MAX_ANSWER_MARGIN_S, min(MIN_ANSWER_MARGIN_S, max_margin) + 2 * self.loop_lag)
         deadline = request.received_at + stated_budget - margin
         call = OpenCall(number, request, reply, min(deadline, self.shutdown_deadline))
         self.calls[number] = call
@@ -335,7 +344,7 @@
             api.Arrival(
                 call=number,
                 class_name=request.cls,
-                budget=call.deadline - min(BALANCER_MARGIN, max_margin) - now,
+                budget=call.deadline - min(BALANCER_MARGIN_S, max_margin) - now,
                 tenant=request.tenant,
                 work=request.work,
                 resent=request.resent,
@@ -365,9 +374,9 @@
         """Answers a call that the balancer has not answered in time: 503 if it surely never ran, else 504."""
         if not call.open:
             return
-        if not rechecked and time.monotonic() > call.deadline + STALL_THRESHOLD:
+        if not rechecked and time.monotonic() > call.deadline + STALL_THRESHOLD_S:
             # The process was stalled. Timers run before sockets are read, so the answer may already be there.
-            call.timer = self.loop.call_later(NEXT_LOOP_ITERATION, self._on_deadline, call, True)
+            call.timer = self.loop.call_later(NEXT_LOOP_ITERATION_S, self._on_deadline, call, True)
             return
         never_ran = not call.may_have_run and (call.exchange is None or not call.exchange.sent)
         exchange = call.exchange
@@ -398,16 +407,18 @@
     def _send(self, action: api.Send) -> None:
         call = self.calls.get(action.call)
         if call is None:
-            # The call ended after the batch was handed over. The balancer expects an outcome for every Send.
+            # The call ended after the balancer had got the batch. It expects an outcome for every Send.
             self._enqueue(api.Outcome(action.call, 0, action.server, api.Status.MOOT, 0.0, True))
             return
-        number = call.attempts
+        attempt_number = call.attempts
         call.attempts += 1
         upstream = self.upstreams.by_id.get(action.server)
         if upstream is None or not upstream.serving or call.exchange is not None:
             if call.exchange is not None:
                 log.error("second_attempt", id=call.request.id)
-            self._enqueue(api.Outcome(call.number, number, action.server, api.Status.MOOT, 0.0, False))
+            self._enqueue(
+                api.Outcome(call.number, attempt_number, action.server, api.Status.MOOT, 0.0, False)
+            )
             return
         timeout = min(action.timeout, call.deadline - time.monotonic())
 
@@ -426,26 +437,29 @@
             return call.open and upstream.serving and self.balancer.list_lease.valid(time.monotonic())
 
         def on_done(exchange: Exchange) -> None:
-            self._attempt_ended(call, number, action.server, exchange)
+            self._attempt_ended(call, attempt_number, action.server, exchange)
 
         request_id = call.request.id
         if self.debug_enabled:
             backend = "{}:{}".format(*upstream.address)
-            log.debug("attempt_begun", id=request_id, number=number, backend=backend, timeout_s=timeout)
+            log.debug(
+                "attempt_begun", id=request_id, number=attempt_number, backend=backend, timeout_s=timeout
+            )
         exchange = Exchange(
             upstream,
             build_request,
             max(0.0, timeout),
             may_start,
             on_done,
-            action.trust,
-            action.within,
+            action.trust,  # max_idle_age: largest idle time of a connection that may be used
+            action.within,  # send_within: time within which the last byte has to be sent
             request_id,
         )
         call.exchange = self.in_flight[call.number] = exchange
         self.upstreams.start(exchange)
 
-    def _attempt_ended(self, call: OpenCall, number: int, server: int, exchange: Exchange) -> None:
+    def _attempt_ended(self, call: OpenCall, attempt_number: int, server: int, exchange: Exchange) -> None:
+        """Answers the call after a success, and reports the outcome of the attempt to the balancer."""
         status = exchange.status
         assert status is not None
         call.exchange = None
@@ -453,7 +467,10 @@
         self.in_flight.pop(call.number, None)
         if self.debug_enabled:
             elapsed, status_name = exchange.elapsed, status.name.lower()
-            log.debug("attempt_ended", id=call.request.id, number=number, status=status_name, after_s=elapsed)
+            log.debug(
+                "attempt_ended", id=call.request.id, number=attempt_number, status=status_name,
+                after_s=elapsed,
+            )  # fmt: skip
         if status not in api.NEVER_RAN:
             call.may_have_run = True
         if not call.open:
@@ -468,7 +485,14 @@
         ended = not call.open
         self._enqueue(
             api.Outcome(
-                call.number, number, server, status, exchange.elapsed, ended, report, exchange.idle_for
+                call.number,
+                attempt_number,
+                server,
+                status,
+                exchange.elapsed,
+                ended,
+                report,
+                exchange.idle_for,
             )
         )
 
@@ -515,7 +539,7 @@
             self._enqueue(api.Probed(action.server, status, exchange.elapsed, report))
 
         self.upstreams.start(
-            Exchange(upstream, lambda time_left: request, PROBE_TIMEOUT, lambda: upstream.serving, on_done)
+            Exchange(upstream, lambda time_left: request, PROBE_TIMEOUT_S, lambda: upstream.serving, on_done)
         )
 
     def _set_timer(self, action: api.SetTimer) -> None:
--- a/granitepoint/net/listener.py
+++ b/granitepoint/net/listener.py
@@ -16,7 +16,7 @@
 
 log = EventLogger(__name__)
 
-BACKLOG = 1024  # connections that the kernel queues until they are accepted
+BACKLOG = 1024  # maximum number of connections that the kernel queues until they are accepted
 ACCEPT_RETRY_DELAY_S = 0.01  # after accept failed because this machine lacked a resource
 # Errors of the accepted connection itself, which is then gone. All other errors are temporary conditions of
 # this machine: the connections stay in the backlog, so accept can be retried later.
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -15,6 +15,7 @@
 
 MS_PER_SECOND = 1000
 
+# Status of a server in a list -> its state in the balancer.
 STATES_BY_STATUS = {
     "Ready": ServerState.SERVING,
     "Terminating": ServerState.DRAINING,
--- a/granitepoint/net/logs.py
+++ b/granitepoint/net/logs.py
@@ -76,13 +76,13 @@
     def __init__(self, line_format: Format) -> None:
         super().__init__()
         self.line_format = line_format
-        self.second, self.stamp = -1, ""  # the last second formatted, and its text
+        self.second, self.stamp = -1, ""  # the last Unix second formatted, and its text
 
     def format(self, record: logging.LogRecord) -> str:
         """Returns the line without a newline at its end."""
-        whole = int(record.created)
-        if whole != self.second:
-            self.second, self.stamp = whole, time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole))
+        second = int(record.created)
+        if second != self.second:
+            self.second, self.stamp = second, time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(second))
         line: dict[str, object] = {
             "time": f"{self.stamp}.{int(record.created % 1 * 1e3):03d}Z",
             "level": record.levelname.lower(),
@@ -122,8 +122,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.window_end = 0.0
-        self.line_counts: Counter[object] = Counter()
+        self.window_end = 0.0  # monotonic, of the current rate-limit window
+        self.line_counts: Counter[object] = Counter()  # lines per event in that window
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Returns whether the record is written."""
--- a/granitepoint/net/server.py
+++ b/granitepoint/net/server.py
@@ -19,18 +19,18 @@
 from granitepoint.net.logs import EventLogger
 from granitepoint.net.upstream import (
     HOP_BY_HOP_HEADERS,
-    NEXT_LOOP_ITERATION,
-    STALL_THRESHOLD,
+    NEXT_LOOP_ITERATION_S,
+    STALL_THRESHOLD_S,
     UPSTREAM_DESCRIPTOR_SHARE,
     normalize_header,
 )
 
 log = EventLogger(__name__)
 
-MAX_BODY_BYTES = 256 * 1024  # of one request
+MAX_BODY_BYTES = 256 * 1024  # of a request
 LARGE_BODY_BYTES = 64 * 1024  # a body above this is large; only max_large_requests are held at once
-MAX_HEAD_BYTES = 32 * 1024  # target and headers of one request
-MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES  # as received, with the chunked framing
+MAX_HEAD_BYTES = 32 * 1024  # target and headers of a request
+MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES  # as received, with the framing of chunks
 # Pipelined bytes read while an answer is pending. A request left in the socket beyond this limit gets a later
 # received_at than its real arrival, so its deadline is computed too late.
 MAX_READ_AHEAD_BYTES = 16 * 1024
@@ -56,9 +56,9 @@
 LARGE_BODY_MEMORY_SHARE = 0.1  # of the memory above BASE_MEMORY_MB, for large requests
 CONNECTION_MEMORY_MB = 0.125  # per connection: a request, its copy and an answer
 CONTROL_CHARACTERS = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # in a header's value
-TARGET_PATTERN = re.compile(rb"/[\x21-\x7e]*")
-BUDGET_PATTERN = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
-REMOVED_HEADERS = HOP_BY_HOP_HEADERS | {b"x-budget", b"expect", b"x-load-report"}
+TARGET_PATTERN = re.compile(rb"/[\x21-\x7e]*")  # a path, maybe with a query
+BUDGET_PATTERN = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")  # milliseconds or microseconds
+REMOVED_HEADERS = HOP_BY_HOP_HEADERS | {b"x-budget", b"expect", b"x-load-report"}  # not sent to backends
 REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout", 409: b"Conflict",
     413: b"Content Too Large", 431: b"Request Header Fields Too Large", 500: b"Internal Server Error",
@@ -73,7 +73,7 @@
     """A complete and valid request."""
 
     id: bytes
-    cls: str
+    cls: str  # its class, the first part of the path
     budget: float  # s, counted from when the client sent the request
     tenant: str
     session_id: str  # the sid cookie; empty if there is none
@@ -117,7 +117,7 @@
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
-        self.code = code
+        self.code = code  # HTTP status
 
 
 def _single_header(headers: list[tuple[bytes, bytes]], name: bytes) -> bytes:
@@ -210,7 +210,7 @@
         self.headers_complete = False
         # Complete requests (None: a readiness check), each with whether the connection stays open after it.
         self.pending_requests: deque[tuple[Request | BadRequest | None, bool]] = deque()
-        self.call: object | None = None
+        self.call: object | None = None  # the handler's object for the request that waits for its answer
         self.answering = False  # a request waits for its answer
         self.keep_alive = True
         # After invalid input the rest is read and dropped: a close on unread bytes could lose the answer.
@@ -224,11 +224,13 @@
 
     # Transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Registers the new connection with the server."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
         self.parser = httptools.HttpRequestParser(self)
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Removes the connection from the server and ends its call."""
         # The parser refers to this object: the cycle would otherwise stay until the next garbage collection.
         self.transport = self.parser = None
         self.closing = True
@@ -243,10 +245,12 @@
             self.server.handler.on_disconnect(call)
 
     def pause_writing(self) -> None:
+        """The write buffer is full: pauses reading as well."""
         self.write_blocked = True
         self._update_reading()
 
     def resume_writing(self) -> None:
+        """The write buffer has drained: resumes reading."""
         self.write_blocked = False
         self._update_reading()
 
@@ -266,6 +270,7 @@
             self.reading_paused = pause
 
     def data_received(self, data: bytes) -> None:
+        """Parses data; invalid input is answered with an error, after which the connection closes."""
         if self.closing or self.discarding_input:
             return
         self.raw_bytes += len(data)
@@ -292,18 +297,21 @@
 
     # Parser callbacks
     def on_message_begin(self) -> None:
+        """Starts a new request."""
         self.in_message = True
         self.target = b""
         self.headers, self.body = [], []
         self.head_size = self.body_size = 0
 
     def on_url(self, part: bytes) -> None:
+        """Adds a part of the target."""
         self.target += part
         self._add_head_size(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Adds a header; a trailer only counts towards the size limit."""
         self._add_head_size(len(name) + len(value))
-        if not self.headers_complete:  # a trailer is not a header
+        if not self.headers_complete:
             self.headers.append(normalize_header(name, value))
 
     def _add_head_size(self, size: int) -> None:
@@ -312,6 +320,7 @@
             raise BadRequest(431, "headers too large")
 
     def on_headers_complete(self) -> None:
+        """Checks how the length of the body is given, and answers `Expect: 100-continue`."""
         self.headers_complete = True
         lengths = [value for name, value in self.headers if name == b"content-length"]
         codings = [value for name, value in self.headers if name == b"transfer-encoding"]
@@ -328,6 +337,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, chunk: bytes) -> None:
+        """Adds a part of the body."""
         self.body_size += len(chunk)
         self._check_body_size(self.body_size)
         self.body.append(chunk)
@@ -337,6 +347,7 @@
             raise BadRequest(413, "body too large")
 
     def on_message_complete(self) -> None:
+        """Queues the complete request."""
         self.in_message = self.headers_complete = False
         self.raw_bytes = 0
         parser = self.parser
@@ -359,6 +370,7 @@
 
     # Answers
     def _process_next(self) -> None:
+        """Processes queued requests, up to the first one that is not answered at once."""
         while self.pending_requests and not self.answering and not self.closing:
             request, self.keep_alive = self.pending_requests.popleft()
             self.answering = True
@@ -526,7 +538,7 @@
         self.closing: dict[ClientConnection, None] = {}  # the last answer has been written
         self.draining = False  # graceful shutdown: each answer closes its connection
         self.listener: Listener | None = None
-        self.sweep_due = 0.0  # s, monotonic
+        self.sweep_due = 0.0  # s, monotonic; when the next check for timed-out connections is due
 
     def set_table(self, connection: ClientConnection, table: dict[ClientConnection, None] | None) -> None:
         """Moves a connection to the end of a table, or out of all tables (None)."""
@@ -593,7 +605,7 @@
         Closing a listener resets the connections in its backlog, and the requests sent on them are lost.
         """
         while self.listener is not None and self.listener.has_pending and time.monotonic() < until:
-            await asyncio.sleep(NEXT_LOOP_ITERATION)
+            await asyncio.sleep(NEXT_LOOP_ITERATION_S)
         self.stop_listening()
 
     def stop_listening(self) -> None:
@@ -616,7 +628,7 @@
         )
 
     def reject_partial_requests(self) -> None:
-        """Refuses the requests that are still incomplete at the end of the graceful shutdown.
+        """Refuses the requests that are still partial at the end of the graceful shutdown.
 
         None of them was sent to a backend, so the refusal is harmless. Unread bytes are read first, and a
         request that they complete is refused as well.
@@ -636,11 +648,12 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
+        """Ends the connections that have been in one of the tables for too long."""
         now = time.monotonic()
-        if now > self.sweep_due + SWEEP_INTERVAL_S + STALL_THRESHOLD:
-            # The process was stalled, and timers run before sockets are read: missing bytes may have arrived.
+        if now > self.sweep_due + SWEEP_INTERVAL_S + STALL_THRESHOLD_S:
+            # The process was stalled. Timers run before sockets are read, so missing bytes may have arrived.
             self.sweep_due = now
-            self.loop.call_later(NEXT_LOOP_ITERATION, self._sweep)
+            self.loop.call_later(NEXT_LOOP_ITERATION_S, self._sweep)
             return
         self._abort_disconnected()
         for table, timeout, end in (
@@ -650,10 +663,10 @@
         ):
             for connection in list(self._entered_before(table, now - timeout)):
                 # Unread bytes are read before a connection times out; at the next sweep it times out anyway.
-                first_look = (
+                first_check = (
                     table is not self.closing and connection.table_since > now - timeout - SWEEP_INTERVAL_S
                 )
-                if not (first_look and connection.has_unread_data()):
+                if not (first_check and connection.has_unread_data()):
                     end(connection)
         self._sweep_later()
 
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -20,21 +20,21 @@
 
 log = EventLogger(__name__)
 
-MAX_BODY_BYTES = 256 * 1024
-MAX_HEADER_BYTES = 32 * 1024  # headers of an answer, together with all 1xx answers before it
-MAX_RAW_ANSWER_BYTES = MAX_HEADER_BYTES + 2 * MAX_BODY_BYTES  # on the wire, with the framing of chunks
+MAX_BODY_BYTES = 256 * 1024  # of an answer
+MAX_HEAD_BYTES = 32 * 1024  # status line and headers of an answer, with all 1xx answers before it
+MAX_RAW_ANSWER_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES  # as received, with the framing of chunks
 IDLE_TIMEOUT_SHARE = 0.9  # of the configured idle time, so that this side closes before the backend
-# Seconds of delay from which a timer assumes that the process was stalled. As timers run before sockets are
+# Delay from which a timer assumes that the process was stalled. As timers run before sockets are
 # read, it then lets the sockets be read once more: what it waits for may have arrived.
-STALL_THRESHOLD = 0.01
-NEXT_LOOP_ITERATION = 0.001  # seconds; the event loop reads its sockets before a timer of this length
-# Seconds after an answer before its connection is used again, so that unexpected data after it is noticed.
-REUSE_DELAY = NEXT_LOOP_ITERATION
-# Seconds between a request and its last byte: a connection that was lost unnoticed breaks in this time.
-LAST_BYTE_DELAY = NEXT_LOOP_ITERATION
-HANGUP_EVENTS = select.POLLERR | select.POLLHUP | select.POLLRDHUP
+STALL_THRESHOLD_S = 0.01
+NEXT_LOOP_ITERATION_S = 0.001  # the event loop reads its sockets before a timer of this length fires
+# Between an answer and the reuse of its connection, so that unexpected data after the answer is noticed.
+REUSE_DELAY_S = NEXT_LOOP_ITERATION_S
+# Between a request and its last byte: a connection that was lost unnoticed breaks in this time.
+LAST_BYTE_DELAY_S = NEXT_LOOP_ITERATION_S
+PEER_CLOSED_EVENTS = select.POLLERR | select.POLLHUP | select.POLLRDHUP  # closed or reset
 UPSTREAM_DESCRIPTOR_SHARE = 0.4  # of the process's file descriptors, for connections to backends
-IDLE_SWEEP_INTERVAL = 1.0  # seconds
+IDLE_SWEEP_INTERVAL_S = 1.0  # between checks for connections that have reached the idle timeout
 # Errors of a connect that are caused by this machine, and say nothing about the backend.
 LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 HOP_BY_HOP_HEADERS = frozenset(
@@ -60,6 +60,7 @@
     `may_start` is called right before the first byte is sent, also after a slow connect: in the meantime the
     call may have ended, or the backend may have started to drain.
     `on_done` is called once, with `status` set.
+    `timeout` is in seconds from now, after which the exchange ends without an answer.
     `max_idle_age` is in seconds: connections that have been idle for longer are not used.
     `send_within` is in seconds from now: the last byte is not sent after that.
     """
@@ -102,20 +103,20 @@
         self.id = id  # of the request, for log lines
         self.upstream = upstream
         self.build_request = build_request
-        self.last_byte = b""  # held back for LAST_BYTE_DELAY
+        self.last_byte = b""  # held back for LAST_BYTE_DELAY_S
         self.max_idle_age = max_idle_age
         self.idle_for: float | None = None  # seconds that its connection was idle before; 0 for a new one
         self.may_start, self.on_done = may_start, on_done
         self.loop = upstream.owner.loop
         self.started_at = time.monotonic()
-        self.status: Status | None = None
-        self.elapsed = 0.0
+        self.status: Status | None = None  # the outcome; None until the end
+        self.elapsed = 0.0  # seconds from the start to the end
         self.sent = False  # the last byte has been written, so the backend may run the request
         self.connection: Connection | None = None
-        self.code = 0
+        self.code = 0  # HTTP status of the answer; 0 without a complete answer
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
-        self.timer_due = self.deadline = self.started_at + timeout
+        self.timer_due = self.deadline = self.started_at + timeout  # monotonic
         self.send_deadline = self.started_at + send_within
         self.timer = self.loop.call_later(timeout, self._on_timeout)
 
@@ -145,10 +146,10 @@
         self.end(Status.CANCELLED if self.sent else Status.MOOT)
 
     def _on_timeout(self) -> None:
-        if time.monotonic() > self.timer_due + STALL_THRESHOLD:
+        if time.monotonic() > self.timer_due + STALL_THRESHOLD_S:
             # The process was stalled. Timers run before sockets are read, so the answer may already be there.
             self.timer_due = math.inf
-            self.timer = self.loop.call_later(NEXT_LOOP_ITERATION, self._on_timeout)
+            self.timer = self.loop.call_later(NEXT_LOOP_ITERATION_S, self._on_timeout)
             return
         if self.sent and self.upstream.last_received_at < self.started_at:
             # The backend has sent nothing on any connection in the meantime. A machine that vanished leaves
@@ -166,7 +167,7 @@
         connection.start_exchange(self)
 
     def on_broken_unsent(self, new_connection: bool) -> None:
-        """The connection broke before the last byte was written, so the request has not run.
+        """Handles a connection that broke before the last byte was written: the request has not run.
 
         A reused connection may have been dead for a while, which says nothing about the backend: the exchange
         is started again on another connection.
@@ -178,7 +179,7 @@
             self.upstream.owner.start(self)
 
     def on_answer(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """A complete answer has arrived; its code determines the status."""
+        """Ends the exchange with a complete answer, whose code determines the status."""
         self.connection = None
         self.code, self.headers, self.body = code, headers, body
         if code == 200:
@@ -221,19 +222,21 @@
         self.headers_complete = self.body_until_close = False
         # Code of an answer that is complete but not delivered yet, and whether the connection can be kept.
         self.pending_answer: tuple[int, bool] | None = None
-        self.idle_since = 0.0
+        self.idle_since = 0.0  # monotonic
         self.connected_at = time.monotonic()
-        self.exchange_count = 0
-        self.idle_for = 0.0  # seconds before the latest exchange
+        self.exchange_count = 0  # exchanges started on it so far
+        self.idle_for = 0.0  # seconds for which it was idle before the latest exchange
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Counts the new connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop has its own class
         self.connected_at = time.monotonic()
         self.upstream.owner.open_connections += 1
         self.upstream.owner.counts["opened"] += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Ends the exchange in progress, or lets it start again if its last byte was not sent."""
         # The parser refers to this object: without this the cycle would be left to the garbage collector.
         self.transport = self.parser = None
         was_idle = self in self.upstream.idle
@@ -256,11 +259,13 @@
             exchange.end(Status.RESET)
 
     def eof_received(self) -> None:
+        """Completes an answer whose body ends with the connection."""
         if self.exchange is not None and self.body_until_close:
             self.pending_answer = self.parser.get_status_code(), False
             self._deliver()
 
     def data_received(self, data: bytes) -> None:
+        """Parses data; a malformed answer ends the exchange, data without a request the connection."""
         self.upstream.last_received_at = time.monotonic()
         if self.exchange is None or not self.exchange.sent:
             exchange = self.exchange
@@ -274,7 +279,7 @@
             self.parser.feed_data(data)
             # httptools buffers an endless header without an error, so the bytes are counted as they arrive.
             if self.pending_answer is None and self.bytes_received > (
-                MAX_RAW_ANSWER_BYTES if self.headers_complete else MAX_HEADER_BYTES
+                MAX_RAW_ANSWER_BYTES if self.headers_complete else MAX_HEAD_BYTES
             ):
                 raise ValueError("the answer exceeds the size limit")
         except Exception as error:  # the answer is malformed, but the request may have run
@@ -292,6 +297,7 @@
             self._end_malformed()
 
     def _deliver(self) -> None:
+        """Passes the complete answer to the exchange, and keeps or closes the connection."""
         assert self.pending_answer is not None and self.exchange is not None
         (code, keep_alive), self.pending_answer = self.pending_answer, None
         headers, self.headers = self.headers, []
@@ -306,19 +312,22 @@
 
     # parser callbacks
     def on_message_begin(self) -> None:
+        """Raises ValueError for a second answer to one request."""
         if self.pending_answer is not None:
             raise ValueError("more than one answer to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Adds a header."""
         if not self.headers_complete:  # trailers are dropped
             self.headers.append(normalize_header(name, value))
 
     def on_headers_complete(self) -> None:
+        """Checks how the length of the body is given. Raises ValueError if it is ambiguous or too large."""
         code = self.parser.get_status_code()
         if 100 <= code < 200:
             return
         self.headers_complete = True
-        if self.bytes_received > MAX_HEADER_BYTES + MAX_BODY_BYTES:  # all arrived in one read
+        if self.bytes_received > MAX_HEAD_BYTES + MAX_BODY_BYTES:  # all arrived in one read
             raise ValueError("headers too large")
         lengths = [value for name, value in self.headers if name == b"content-length"]
         codings = [value for name, value in self.headers if name == b"transfer-encoding"]
@@ -337,12 +346,14 @@
             self.body_until_close = True
 
     def on_body(self, chunk: bytes) -> None:
+        """Adds a part of the body. Raises ValueError above the size limit."""
         self.body_size += len(chunk)
         if self.body_size > MAX_BODY_BYTES:
             raise ValueError("body too large")
         self.body.append(chunk)
 
     def on_message_complete(self) -> None:
+        """Notes that the answer is complete; a 1xx answer is dropped."""
         code = self.parser.get_status_code()
         if 100 <= code < 200 and code != 101:
             self.headers = []  # of an interim answer
@@ -350,7 +361,7 @@
             self.pending_answer = code, code != 101 and self.parser.should_keep_alive()  # only valid here
 
     def start_exchange(self, exchange: Exchange) -> None:
-        """Writes the request except for its last byte, which follows after LAST_BYTE_DELAY."""
+        """Writes the request except for its last byte, which follows after LAST_BYTE_DELAY_S."""
         assert self.transport is not None
         self.exchange = exchange
         self.idle_for = time.monotonic() - self.idle_since if self.exchange_count else 0.0
@@ -363,7 +374,7 @@
         data = exchange.build_request(max(0.0, exchange.deadline - time.monotonic()))
         exchange.last_byte = data[-1:]
         self.transport.write(data[:-1])
-        self.upstream.owner.loop.call_later(LAST_BYTE_DELAY, self._send_last_byte, exchange)
+        self.upstream.owner.loop.call_later(LAST_BYTE_DELAY_S, self._send_last_byte, exchange)
 
     def _send_last_byte(self, exchange: Exchange) -> None:
         """Sends the last byte, if the connection has accepted all others without breaking.
@@ -374,19 +385,19 @@
         if (
             self.exchange is not exchange
             or self.transport is None
-            or self.has_pending_events(HANGUP_EVENTS | select.POLLIN)
+            or self.has_pending_events(PEER_CLOSED_EVENTS | select.POLLIN)
         ):
             return
         if time.monotonic() >= exchange.send_deadline:
             exchange.end(Status.MOOT)
         elif self.transport.get_write_buffer_size():  # the backend has not taken the bytes before it yet
-            self.upstream.owner.loop.call_later(LAST_BYTE_DELAY, self._send_last_byte, exchange)
+            self.upstream.owner.loop.call_later(LAST_BYTE_DELAY_S, self._send_last_byte, exchange)
         else:
             exchange.sent = True
             self.transport.write(exchange.last_byte)
 
     def _fail_unsent(self, exchange: Exchange) -> None:
-        """The connection broke before the last byte of the exchange was sent."""
+        """Notifies the exchange that the connection broke before its last byte was sent."""
         self.upstream.owner.counts["broken before the last byte"] += 1
         exchange.on_broken_unsent(new_connection=self.exchange_count == 1)
 
@@ -430,7 +441,7 @@
         self.owner, self.address, self.started_at, self.state = owner, address, started_at, state
         self.connections: set[Connection] = set()
         self.last_received_at = 0.0  # monotonic, of data on any of its connections
-        self.idle: list[Connection] = []
+        self.idle: list[Connection] = []  # the one that has been idle the longest comes first
 
     @property
     def serving(self) -> bool:
@@ -441,11 +452,11 @@
         """Returns an idle connection, or None if there is none that may be reused.
 
         The most recently used one is preferred, so that surplus connections reach the idle timeout. One that
-        was in use less than REUSE_DELAY ago is returned only if there is no other. Connections that have been
-        idle for more than `max_idle_age` seconds are closed.
+        was in use less than REUSE_DELAY_S ago is returned only if there is no other. Connections that have
+        been idle for more than `max_idle_age` seconds are closed.
         """
         now = time.monotonic()
-        min_idle_since, max_idle_since = now - min(self.owner.idle_timeout, max_idle_age), now - REUSE_DELAY
+        min_idle_since, max_idle_since = now - min(self.owner.idle_timeout, max_idle_age), now - REUSE_DELAY_S
         while self.idle:
             index = len(self.idle) - 1
             while index and self.idle[index].idle_since > max_idle_since:
@@ -485,7 +496,7 @@
             connection.abandon()
 
     def drop_connections(self) -> None:
-        """Another process runs at the address: the connections of the earlier one must not be reused."""
+        """Stops reusing the connections, as another process or another address has replaced the backend."""
         self.close_idle()
         self.connections.clear()  # those in use are closed in release(), after their exchange
 
@@ -501,15 +512,15 @@
         on_idle_closed: Callable[[Upstream, float], None] = lambda upstream, idle_for: None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.connect_timeout = connect_timeout
-        self.idle_timeout = IDLE_TIMEOUT_SHARE * conn_idle
+        self.connect_timeout = connect_timeout  # seconds
+        self.idle_timeout = IDLE_TIMEOUT_SHARE * conn_idle  # seconds
         self.max_connections = max_connections
         self.on_idle_closed = on_idle_closed  # called when a backend closes an idle connection
         self.open_connections = 0
         self.counts: Counter[str] = Counter()  # of connection events, since the last statistics line
         self.by_id: dict[int, Upstream] = {}
         self._connect_tasks: set[asyncio.Task[None]] = set()
-        self.loop.call_later(IDLE_SWEEP_INTERVAL, self._sweep)
+        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self._sweep)
 
     @property
     def descriptors_in_use(self) -> int:
@@ -548,7 +559,7 @@
         upstream = exchange.upstream
         connection = upstream.take_idle(exchange.max_idle_age)
         if connection is not None:
-            wait = connection.idle_since + REUSE_DELAY - time.monotonic()
+            wait = connection.idle_since + REUSE_DELAY_S - time.monotonic()
             if wait > 0:
                 self.loop.call_later(wait, self._reuse, exchange, connection)
             else:
@@ -602,8 +613,8 @@
         timer_due = time.monotonic() + self.connect_timeout
         opening = self.loop.create_task(self.loop.create_connection(lambda: connection, *address))
         await asyncio.wait([opening], timeout=self.connect_timeout)
-        if not opening.done() and time.monotonic() > timer_due + STALL_THRESHOLD:
-            await asyncio.wait([opening], timeout=NEXT_LOOP_ITERATION)
+        if not opening.done() and time.monotonic() > timer_due + STALL_THRESHOLD_S:
+            await asyncio.wait([opening], timeout=NEXT_LOOP_ITERATION_S)
         if not opening.done():
             opening.cancel()
             await asyncio.wait([opening])
@@ -623,4 +634,4 @@
         min_idle_since = time.monotonic() - self.idle_timeout
         for upstream in self.by_id.values():
             upstream.close_idle(min_idle_since)
-        self.loop.call_later(IDLE_SWEEP_INTERVAL, self._sweep)
+        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self._sweep)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -169,17 +169,17 @@
 
         async with asyncio.timeout(TEST_TIMEOUT_S):
             if not answers_before:
-                monkeypatch.setattr(up, "LAST_BYTE_DELAY", TEST_TIMEOUT_S)  # it breaks before the last byte
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY_S", TEST_TIMEOUT_S)  # it breaks before the last byte
             start()
             backend, _ = await loop.sock_accept(listener)
             for _ in range(answers_before):
                 await receive_request(backend)
                 backend.sendall(response(200, b"first"))
                 assert (await finished.get()).body == b"first"
-                monkeypatch.setattr(up, "LAST_BYTE_DELAY", TEST_TIMEOUT_S)
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY_S", TEST_TIMEOUT_S)
                 start()
             assert await loop.sock_recv(backend, 1000)
-            monkeypatch.setattr(up, "LAST_BYTE_DELAY", 0.001)
+            monkeypatch.setattr(up, "LAST_BYTE_DELAY_S", 0.001)
             reset(backend)
             if answers_before:
                 backend, _ = await loop.sock_accept(listener)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -93,8 +93,8 @@
 
 def set_watch_timeouts(monkeypatch: pytest.MonkeyPatch, wait: float) -> None:
     """Sets the seconds after which a watch is opened anew, whether or not the list is confirmed."""
-    monkeypatch.setattr(net, "RENEW_AFTER", wait)
-    monkeypatch.setattr(net, "CONFIRM_TIMEOUT", wait)
+    monkeypatch.setattr(net, "RENEW_AFTER_S", wait)
+    monkeypatch.setattr(net, "CONFIRM_TIMEOUT_S", wait)
 
 
 def states(received: Listing) -> list[str]:
@@ -105,22 +105,22 @@
     queue_time = 2.0  # seconds that a call may wait before it fails
     notified_after = net.HOLD_MS / 1000 + 2.0
     assert (
-        notified_after - net.RENEW_AFTER >= queue_time + queue_time + queue_time
+        notified_after - net.RENEW_AFTER_S >= queue_time + queue_time + queue_time
     )  # the retry delay is no longer than the wait before it
-    assert notified_after - net.RENEW_AFTER >= LEASE_DURATION  # leases cover the time after the first failure
+    assert notified_after - net.RENEW_AFTER_S >= LEASE_DURATION  # leases cover the time after the first failure
     assert net.HOLD_MS <= 60_000
 
 
 def test_a_first_call_is_repeated_in_time_if_it_is_dead_but_not_while_it_is_queued() -> None:
     """What a dead first call misses counts as notified 6 s after it went silent, as its hold is short."""
     queue_time, hold = 2.0, net.CONFIRM_HOLD_MS / 1000
-    assert queue_time + hold < net.CONFIRM_TIMEOUT * (1 - net.TIMEOUT_JITTER)
+    assert queue_time + hold < net.CONFIRM_TIMEOUT_S * (1 - net.TIMEOUT_JITTER)
     assert (
-        net.CONFIRM_TIMEOUT + queue_time + hold
+        net.CONFIRM_TIMEOUT_S + queue_time + hold
         < SILENCE_NOTIFIED_AFTER
         == max(SILENCE_NOTIFIED_AFTER, hold + NOTIFIED_AFTER_HOLD)
     )
-    assert queue_time + hold < net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD - net.RENEW_AFTER
+    assert queue_time + hold < net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD - net.RENEW_AFTER_S
 
 
 @pytest.mark.parametrize("confirmed", [False, True])
@@ -134,7 +134,7 @@
         evidence: list[net.Evidence] = []
         async with peer.client() as client:
             client.on_evidence = evidence.append
-            monkeypatch.setattr(net, "RENEW_AFTER", 0.05)
+            monkeypatch.setattr(net, "RENEW_AFTER_S", 0.05)
             client.watch(True)
             call = await peer.next("/v1/servers?from=1&")
             if confirmed:
@@ -179,7 +179,7 @@
 
 def test_a_first_list_is_not_requested_twice_while_the_call_is_queued() -> None:
     """All proxies move at once, and twice the calls would take twice as long."""
-    assert net.MOVE_RETRY_AFTER * (1 - net.TIMEOUT_JITTER) > MAX_QUEUE_TIME * 0.9 > 2.0
+    assert net.MOVE_RETRY_AFTER_S * (1 - net.TIMEOUT_JITTER) > MAX_QUEUE_TIME * 0.9 > 2.0
 
 
 def test_a_dead_watch_is_renewed_beside_the_open_call(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -248,7 +248,7 @@
 def test_the_first_list_of_a_new_address_is_requested_again_if_the_call_is_dead(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net, "MOVE_RETRY_AFTER", 0.05)
+    monkeypatch.setattr(net, "MOVE_RETRY_AFTER_S", 0.05)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -257,7 +257,7 @@
             silent = await peer.next(FIRST_TARGET)
             second = await peer.next(FIRST_TARGET)
             assert silent.connection != second.connection
-            monkeypatch.setattr(net, "MOVE_RETRY_AFTER", TEST_TIMEOUT_S)
+            monkeypatch.setattr(net, "MOVE_RETRY_AFTER_S", TEST_TIMEOUT_S)
             second.answer(9, endpoint("s-1", ADDRESS), snapshot=True)
             while (await peer.calls.get()).target == FIRST_TARGET:
                 pass  # a third call may have been sent in the meantime
@@ -369,7 +369,7 @@
     """Changes count as notified 4 s after SIGHUP, and a call that is repeated is queued from the start. The
     first watch of the balancer comes at a random time within 2 s of the start, so possibly while that call is
     open."""
-    monkeypatch.setattr(net, "MOVE_RETRY_AFTER", TEST_TIMEOUT_S)
+    monkeypatch.setattr(net, "MOVE_RETRY_AFTER_S", TEST_TIMEOUT_S)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -287,7 +287,7 @@
             (exchange,) = proxy.driver.in_flight.values()
             assert exchange.send_deadline < exchange.started_at + 6.0  # the deduplication window of the class
             if moment == "before its last byte":
-                monkeypatch.setattr(up, "LAST_BYTE_DELAY", TEST_TIMEOUT_S)
+                monkeypatch.setattr(up, "LAST_BYTE_DELAY_S", TEST_TIMEOUT_S)
                 connect_held.set()
                 await proxy.wait_until(lambda: exchange.connection is not None)
                 exchange.send_deadline = 0.0
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -124,8 +124,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The watch continues in the meantime, and newer changes that it brings are kept."""
-    monkeypatch.setattr(net, "VERIFY_DELAY", 0.1)
-    monkeypatch.setattr(net, "VERIFY_SPREAD", 0.02)
+    monkeypatch.setattr(net, "VERIFY_DELAY_S", 0.1)
+    monkeypatch.setattr(net, "VERIFY_SPREAD_S", 0.02)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
