--- a/granitepoint/fleet/proxies.py
+++ b/granitepoint/fleet/proxies.py
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.histograms = {name: Histogram() for name in (*STAGES, "whole")}
-        self.reuse_delays = 0  # calls that waited until REUSE_DELAY_S after their connection's previous answer
+        self.reuse_delays = 0  # calls that waited until REUSE_DELAY_S after their connection's last answer
 
     def record(self, times: CallTimes, answered_at: float, written_at: float) -> None:
         """Adds a call whose answer was complete and written at these monotonic times."""
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -258,7 +258,7 @@
             )  # fmt: skip
 
     def _handle_balancer_failure(self, events: list[api.Event]) -> None:
-        """Answers with 502 the calls of a batch that the balancer failed to handle, and repeats its timers."""
+        """Answers with 502 the calls of a batch that the balancer failed to handle; repeats its timers."""
         log.exception("module_failed", events=len(events))
         for event in events:
             if isinstance(event, api.Arrival | api.Outcome):
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -24,8 +24,8 @@
 MAX_HEAD_BYTES = 32 * 1024  # status line and headers of an answer, with all 1xx answers before it
 MAX_RAW_ANSWER_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES  # as received, with the framing of chunks
 IDLE_TIMEOUT_SHARE = 0.9  # of the configured idle time, so that this side closes before the backend
-# Delay from which a timer assumes that the process was stalled. As timers run before sockets are
-# read, it then lets the sockets be read once more: what it waits for may have arrived.
+# Delay from which a timer assumes that the process was stalled. As timers run before sockets are read, it
+# then lets the sockets be read once more: what it waits for may have arrived.
 STALL_THRESHOLD_S = 0.01
 NEXT_LOOP_ITERATION_S = 0.001  # the event loop reads its sockets before a timer of this length fires
 # Between an answer and the reuse of its connection, so that unexpected data after the answer is noticed.
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -105,6 +105,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> Backend:
+        """Reserves an address and starts to serve there."""
         self.address = self.reservation.enter_context(reserved_address())
         host, _, port = self.address.rpartition(":")
         self.server = await asyncio.start_server(self._connection, host, int(port))
@@ -127,6 +128,7 @@
         writer.close()
 
     async def stop(self) -> None:
+        """Closes the listener and all connections."""
         if self.server is not None:
             self.server.close()
             for writer in self.writers:
@@ -143,6 +145,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> Discovery:
+        """Starts to serve on a free port."""
         self.server = await asyncio.start_server(self._connection, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -173,7 +176,7 @@
             return response(200, json.dumps(unchanged).encode())
 
     def publish(self, index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
-        """Queues a change, or a whole list (snapshot), as the next answer."""
+        """Queues a change, or a full list (snapshot), as the next answer."""
         listed = json.dumps(listing(index, *endpoints, snapshot=snapshot))
         self.changes.put_nowait(response(200, listed.encode()))
 
@@ -185,7 +188,7 @@
 
 
 def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
-    """Returns a list of servers in discovery's format: the whole list (snapshot) or changes."""
+    """Returns a list of servers in discovery's format: the full list (snapshot) or changes."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
 
 
@@ -203,6 +206,7 @@
         self.reader, self.writer = reader, writer
 
     def send(self, cls: str, id: str, budget: str = "1000m", body: bytes = b"", **headers: str) -> None:
+        """Sends a request; an underscore in a header's name stands for a hyphen."""
         method = "GET" if cls == "stock" else "POST"
         if cls == "reserva":
             headers.setdefault("Idempotency_Key", "k" + id)
@@ -220,6 +224,7 @@
     async def call(
         self, cls: str, id: str, budget: str = "1000m", body: bytes = b"", **headers: str
     ) -> Answer:
+        """Sends a request and waits for its answer."""
         self.send(cls, id, budget, body, **headers)
         return await self.answer()
 
@@ -249,6 +254,7 @@
         self.process, self.address, self.path, self.initial_config = process, address, path, initial_config
 
     async def caller(self) -> Caller:
+        """Opens a connection to the proxy."""
         return Caller(*await asyncio.open_connection(*self.address))
 
     def reload(self, **changes: Any) -> None:
@@ -262,6 +268,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     def terminate(self) -> None:
+        """Sends SIGTERM."""
         self.process.send_signal(signal.SIGTERM)
 
     async def exit_code(self) -> int:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -49,8 +49,10 @@
 
 
 async def assert_attempt_fails_at_once(backend: Backend) -> None:
-    """Budget and attempt timeout are several seconds, so only the answer itself can end the attempt this
-    soon."""
+    """Calls the backend once and checks that its answer ends the attempt.
+
+    Budget and attempt timeout are several seconds, so only the answer itself can end the attempt this soon.
+    """
     async with proxy({"s-1": backend}) as node:
         caller = await node.caller()
         started = asyncio.get_running_loop().time()
@@ -71,7 +73,7 @@
 
 
 @pytest.mark.parametrize(("start", "repeated"), ENDLESS_ANSWERS.values(), ids=ENDLESS_ANSWERS)
-def test_an_answer_without_end_is_cut_off(start: bytes, repeated: bytes) -> None:
+def test_an_endless_answer_ends_its_attempt_at_once(start: bytes, repeated: bytes) -> None:
     async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(start)
         with contextlib.suppress(ConnectionError):
@@ -117,7 +119,7 @@
 
 
 @pytest.mark.parametrize("blank", [b"", b" "])
-def test_an_answer_may_end_with_its_connection_if_it_says_so(blank: bytes) -> None:
+def test_an_answer_may_end_with_its_connection_if_its_headers_say_so(blank: bytes) -> None:
     async def test() -> None:
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Connection: close" + blank + b"\r\n\r\nme")
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -72,7 +72,7 @@
 
 @st.composite
 def files(draw: st.DrawFn) -> Any:
-    """Draws a complete file with up to three places set, removed, added or doubled; at times any JSON."""
+    """Draws a complete file with up to three values set, removed, added or doubled; at times any JSON."""
     raw = complete_file()
     for _ in range(draw(st.integers(0, 3))):
         *outer, last = draw(st.sampled_from(paths(raw)))
@@ -106,7 +106,7 @@
 STRUCTS: dict[str, Any] = {field.name: field.type for field in msgspec.structs.fields(schema.Settings)}
 STRUCTS = {name: kind for name, kind in STRUCTS.items() if isinstance(kind, type)}
 STRUCTS |= {"settings": schema.Settings, "grades": schema.Grade, "tenants": schema.Tenant}
-# The last two names in the path of a setting -> what schema._meta noted for it.
+# The last two names in the path of a setting -> the `extra` dict of its metadata, from schema._meta.
 FIELD_METADATA: dict[str, dict[str, str]] = {
     f"{name}.{field.name}": field.type.__metadata__[0].extra
     for name, struct in STRUCTS.items()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -104,10 +104,10 @@
 def test_a_watch_is_renewed_early_enough_for_retries_before_silence_counts_as_notified() -> None:
     queue_time = 2.0  # seconds that a call may wait before it fails
     notified_after = net.HOLD_MS / 1000 + 2.0
-    assert (
-        notified_after - net.RENEW_AFTER_S >= queue_time + queue_time + queue_time
-    )  # the retry delay is no longer than the wait before it
-    assert notified_after - net.RENEW_AFTER_S >= LEASE_DURATION  # leases cover the time after the first failure
+    # The retry delay is no longer than the wait before it.
+    assert notified_after - net.RENEW_AFTER_S >= queue_time + queue_time + queue_time
+    # Leases cover the time after the first failure.
+    assert notified_after - net.RENEW_AFTER_S >= LEASE_DURATION
     assert net.HOLD_MS <= 60_000
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -29,7 +29,7 @@
     serve_ok,
 )
 
-from granitepoint import __main__ as program
+from granitepoint import __main__ as proxy_main
 from granitepoint.__main__ import drain
 from granitepoint.benchlink import read_settings
 from granitepoint.interface import Effect, Status
@@ -204,22 +204,22 @@
             policy_limits={**SETTINGS["policy_limits"], "connect_timeout": TEST_TIMEOUT_S}
         ) as proxy:
             loop = asyncio.get_running_loop()
-            connect, asked, up = loop.create_connection, asyncio.Event(), asyncio.Event()
+            connect, started, allowed = loop.create_connection, asyncio.Event(), asyncio.Event()
 
-            async def slow(*args: Any) -> Any:
-                asked.set()
-                await up.wait()
+            async def slow_connect(*args: Any) -> Any:
+                started.set()
+                await allowed.wait()
                 return await connect(*args)
 
             caller = await proxy.caller()
             other = await proxy.caller()
-            monkeypatch.setattr(proxy.driver.upstreams.loop, "create_connection", slow)
+            monkeypatch.setattr(proxy.driver.upstreams.loop, "create_connection", slow_connect)
             caller.send("canje", FIRST_ID, budget="6000m")
             caller.writer.write(behind)
-            await asked.wait()
+            await started.wait()
             caller.writer.close()
             await proxy.wait_until_disconnected()
-            up.set()
+            allowed.set()
             assert (await other.call("stock", SECOND_ID)).code == 200
             assert (await next_call(proxy.backend)).headers["x-call-id"] == SECOND_ID
             assert proxy.backend.call_count == 1 and not proxy.driver.active_ids
@@ -234,20 +234,20 @@
         async with in_process_proxy(
             policy_limits={**SETTINGS["policy_limits"], "connect_timeout": TEST_TIMEOUT_S}
         ) as proxy:
-            connect, up = proxy.driver.loop.create_connection, asyncio.Event()
+            connect, allowed = proxy.driver.loop.create_connection, asyncio.Event()
 
-            async def slow(*args: Any) -> Any:
-                await up.wait()
+            async def slow_connect(*args: Any) -> Any:
+                await allowed.wait()
                 return await connect(*args)
 
             caller = await proxy.caller()
             proxy.driver.balancer.health_leases.confirm()  # so that no slow health check is waited for
-            monkeypatch.setattr(proxy.driver.upstreams.loop, "create_connection", slow)
+            monkeypatch.setattr(proxy.driver.upstreams.loop, "create_connection", slow_connect)
             caller.send("canje", FIRST_ID, budget="6000m")
             await proxy.wait_until(lambda: bool(proxy.driver.in_flight))
             (exchange,) = proxy.driver.in_flight.values()
             exchange.deadline -= 4.0  # as if the connect had taken 4 s
-            up.set()
+            allowed.set()
             sent_budget = (await next_call(proxy.backend)).headers["x-budget"]
             assert 0 < int(sent_budget[:-1]) <= 2_000_000
             assert (await caller.answer()).code == 200
@@ -265,7 +265,7 @@
     """
 
     async def test() -> None:
-        connect_held = asyncio.Event()
+        connect_allowed = asyncio.Event()
         limits = {**SETTINGS["policy_limits"], "connect_timeout": TEST_TIMEOUT_S, "send_cap": 2}
 
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -274,28 +274,28 @@
         async with in_process_proxy(behave, policy_limits=limits) as proxy:
             connect = proxy.driver.loop.create_connection
 
-            async def held(*args: Any) -> Any:
-                await connect_held.wait()
+            async def slow_connect(*args: Any) -> Any:
+                await connect_allowed.wait()
                 return await connect(*args)
 
             caller = await proxy.caller()
             caller.send("reserva", FIRST_ID, budget="4000m")
             await next_call(proxy.backend)
-            monkeypatch.setattr(proxy.driver.loop, "create_connection", held)
+            monkeypatch.setattr(proxy.driver.loop, "create_connection", slow_connect)
             await proxy.wait_until(lambda: any(call.may_have_run for call in proxy.driver.calls.values()))
             await proxy.wait_until(lambda: bool(proxy.driver.in_flight))
             (exchange,) = proxy.driver.in_flight.values()
             assert exchange.send_deadline < exchange.started_at + 6.0  # the deduplication window of the class
             if moment == "before its last byte":
                 monkeypatch.setattr(up, "LAST_BYTE_DELAY_S", TEST_TIMEOUT_S)
-                connect_held.set()
+                connect_allowed.set()
                 await proxy.wait_until(lambda: exchange.connection is not None)
                 exchange.send_deadline = 0.0
                 assert exchange.connection is not None
                 exchange.connection._send_last_byte(exchange)
             else:
                 exchange.send_deadline = 0.0
-                connect_held.set()
+                connect_allowed.set()
             assert (await caller.answer()).code in (502, 504)
             assert exchange.status is Status.MOOT and not exchange.sent and proxy.backend.call_count == 1
 
@@ -373,7 +373,7 @@
             last = await attempt(proxy)
             caller = socket.create_connection(("127.0.0.1", proxy.port))
             started, written_requests = 0, []
-            run_on, begin = up.Exchange.run_on, up.Connection.start_exchange
+            run_on, start_exchange = up.Exchange.run_on, up.Connection.start_exchange
 
             def disconnect_first(exchange: up.Exchange, connection: up.Connection) -> None:
                 nonlocal started
@@ -385,7 +385,7 @@
 
             def record(connection: up.Connection, exchange: up.Exchange) -> None:
                 written_requests.append(exchange.build_request(1.0))
-                begin(connection, exchange)
+                start_exchange(connection, exchange)
 
             monkeypatch.setattr(up.Exchange, "run_on", disconnect_first)
             monkeypatch.setattr(up.Connection, "start_exchange", record)
@@ -579,7 +579,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("completed", [True, False], ids=["comes whole", "does not"])
+@pytest.mark.parametrize("completed", [True, False], ids=["completed", "not completed"])
 def test_a_partial_request_received_with_the_previous_one_is_noticed_during_the_shutdown(
     completed: bool,
 ) -> None:
@@ -639,15 +639,15 @@
 @pytest.fixture
 def immediate_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """The last phase of the graceful shutdown starts right after SIGTERM."""
-    monkeypatch.setattr(program, "SHUTDOWN_ACCEPT_S", 0.0)
-    monkeypatch.setattr(program, "SHUTDOWN_CLOSING_S", TEST_TIMEOUT_S)
+    monkeypatch.setattr(proxy_main, "SHUTDOWN_ACCEPT_S", 0.0)
+    monkeypatch.setattr(proxy_main, "SHUTDOWN_CLOSING_S", TEST_TIMEOUT_S)
 
 
 @pytest.mark.usefixtures("immediate_shutdown")
 def test_a_partial_request_completed_during_the_shutdown_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(program, "SHUTDOWN_PARTIAL_REQUEST_S", TEST_TIMEOUT_S)
+    monkeypatch.setattr(proxy_main, "SHUTDOWN_PARTIAL_REQUEST_S", TEST_TIMEOUT_S)
 
     async def test() -> None:
         async with in_process_proxy() as proxy:
@@ -667,7 +667,7 @@
 def test_a_request_incomplete_at_the_end_of_the_shutdown_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(program, "SHUTDOWN_PARTIAL_REQUEST_S", 0.0)
+    monkeypatch.setattr(proxy_main, "SHUTDOWN_PARTIAL_REQUEST_S", 0.0)
 
     async def test() -> None:
         async with in_process_proxy() as proxy:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -24,21 +24,21 @@
 
 
 @pytest.fixture
-def lines() -> Iterator[Any]:
+def configure_log() -> Iterator[Any]:
     """Yields a function that configures the log and returns its output; restores logging at the end."""
     root = logging.getLogger()
     before = root.handlers[:], root.level
     flags = logging._srcfile, logging.logThreads, logging.logProcesses, logging.logMultiprocessing
     stream = io.StringIO()
 
-    def begin(form: logs.Format, level: int = logging.INFO) -> io.StringIO:
+    def configure(line_format: logs.Format, level: int = logging.INFO) -> io.StringIO:
         stream.seek(0)
         stream.truncate()
         root.handlers = []
-        logs.configure(stream, form, level)
+        logs.configure(stream, line_format, level)
         return stream
 
-    yield begin
+    yield configure
     root.handlers, root.level = before
     logging._srcfile, logging.logThreads, logging.logProcesses, logging.logMultiprocessing = flags
 
@@ -49,16 +49,18 @@
     return {key: json.loads(value) if value[0] == '"' else value for key, value in found}
 
 
-def test_a_line_holds_the_event_and_its_values(lines: Any) -> None:
-    for form in logs.Format:
-        stream = lines(form)
+def test_a_line_holds_the_event_and_its_values(configure_log: Any) -> None:
+    for line_format in logs.Format:
+        stream = configure_log(line_format)
         events = logs.EventLogger("granitepoint.net.part")
         odd = {"empty": "", "fault": 'a "b" = c', "no": None}
         events.info("thing_done", id=b"0123", after_s=0.12345678, count=3, **odd)
         line = stream.getvalue().rstrip("\n")
-        logged = words(line) if form is logs.Format.TEXT else json.loads(line)
+        logged = words(line) if line_format is logs.Format.TEXT else json.loads(line)
         assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z", logged.pop("time"))
-        numbers: tuple[object, object] = ("0.123457", "3") if form is logs.Format.TEXT else (0.123457, 3)
+        numbers: tuple[object, object] = (
+            ("0.123457", "3") if line_format is logs.Format.TEXT else (0.123457, 3)
+        )
         assert logged == {
             "level": "info", "event": "thing_done", "part": "part", "id": "0123",
             "after_s": numbers[0], "count": numbers[1], "empty": "", "fault": 'a "b" = c',
@@ -79,14 +81,14 @@
     assert set(json.loads(line)) - {"time", "level", "event", "part"} == present
 
 
-def test_any_class_name_is_turned_into_a_valid_key(lines: Any) -> None:
-    stream = lines(logs.Format.TEXT)
+def test_any_class_name_is_turned_into_a_valid_key(configure_log: Any) -> None:
+    stream = configure_log(logs.Format.TEXT)
     logs.EventLogger("x").info("figures", **{'target.a b="c\n_s': 0.5})
     assert words(stream.getvalue().rstrip("\n"))["target.a_b_c__s"] == "0.5"
 
 
-def test_an_exception_is_one_line_with_its_traceback(lines: Any) -> None:
-    stream = lines(logs.Format.TEXT)
+def test_an_exception_is_one_line_with_its_traceback(configure_log: Any) -> None:
+    stream = configure_log(logs.Format.TEXT)
     try:
         raise ValueError("two\nlines")
     except ValueError:
@@ -95,8 +97,8 @@
     assert words(line)["traceback"].endswith("ValueError: two\nlines")
 
 
-def test_debug_lines_are_not_rate_limited(lines: Any) -> None:
-    stream = lines(logs.Format.TEXT, logging.DEBUG)
+def test_debug_lines_are_not_rate_limited(configure_log: Any) -> None:
+    stream = configure_log(logs.Format.TEXT, logging.DEBUG)
     events = logs.EventLogger("x")
     for _ in range(3 * logs.MAX_LINES_PER_EVENT):
         events.debug("call_taken")
@@ -106,11 +108,11 @@
         3 * logs.MAX_LINES_PER_EVENT,
         logs.MAX_LINES_PER_EVENT,
     )
-    lines(logs.Format.TEXT)
+    configure_log(logs.Format.TEXT)
     assert not events.debug_enabled
 
 
-def log_of_one_request(form: logs.Format) -> list[str]:
+def log_of_one_request(line_format: logs.Format) -> list[str]:
     """Returns the whole log of a proxy that served one request after its first attempt was reset."""
     log_lines: list[str] = []
 
@@ -122,7 +124,7 @@
                 await serve_ok(seen, writer)
 
         backend = Backend(behave)
-        variables = {"EDGE_LOG_FORMAT": form.value, "EDGE_LOG_LEVEL": "debug"}
+        variables = {"EDGE_LOG_FORMAT": line_format.value, "EDGE_LOG_LEVEL": "debug"}
         async with proxy({"s-1": backend}, variables=variables) as node:
             assert (await (await node.caller()).call("stock", "7" * 16)).code == 200
             node.terminate()
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,5 +1,4 @@
-"""A move to a new address of discovery: it is asked for changes only, and recognized if it is another
-service.
+"""A move to a new address of discovery: only changes are requested, and another service is recognized.
 
 These tests guard against two failures. After SIGHUP, requests went to servers that had left, for up to 20 s.
 When that was refused, proxies served nobody for seconds: all of them requested full lists at once, and the
@@ -41,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("version", "servers", "goes_on"),
+    ("version", "servers", "continues"),
     [
         (40, {1, 2}, True),
         (44, {1, 2, 7}, True),
@@ -53,9 +52,9 @@
     ],
 )
 def test_another_service_is_recognized_by_its_version_and_by_the_missing_last_change(
-    version: int, servers: set[int], goes_on: bool
+    version: int, servers: set[int], continues: bool
 ) -> None:
-    assert history().is_continued_by(version, servers) is goes_on
+    assert history().is_continued_by(version, servers) is continues
 
 
 def test_a_full_list_or_a_large_change_leaves_nothing_to_compare() -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -66,7 +66,7 @@
     run(test())
 
 
-def test_connections_are_kept_and_the_last_used_is_used_again() -> None:
+def test_a_backend_connection_is_kept_open_and_reused() -> None:
     async def test() -> None:
         backend = Backend()
         async with proxy({"s-1": backend}) as node:
@@ -127,7 +127,7 @@
     run(test())
 
 
-def test_a_marked_rejection_never_ran_and_is_tried_elsewhere() -> None:
+def test_a_call_with_a_marked_rejection_never_ran_and_is_retried_elsewhere() -> None:
     async def test() -> None:
         backends = {"s-1": Backend(rejected), "s-2": Backend()}
         async with proxy(backends) as node:
@@ -176,7 +176,7 @@
     run(test())
 
 
-def test_discovery_that_is_down_is_asked_again_and_the_list_is_kept() -> None:
+def test_discovery_that_is_down_is_called_again_and_the_list_is_kept() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         backend = Backend()
@@ -209,7 +209,7 @@
     run(test())
 
 
-def test_a_backend_that_contradicts_a_silent_watch_makes_the_proxy_ask_again() -> None:
+def test_a_backend_that_contradicts_a_silent_watch_makes_the_proxy_call_discovery_again() -> None:
     """Discovery accepts the first watch but never answers it, while one backend is replaced by another."""
 
     async def test() -> None:
@@ -242,7 +242,7 @@
     run(test())
 
 
-def test_a_late_answer_reaches_nobody() -> None:
+def test_a_late_answer_is_discarded() -> None:
     """A timed-out attempt closes its connection, or its answer would be taken for that of the next call."""
 
     async def test() -> None:
@@ -266,7 +266,7 @@
     run(test())
 
 
-def test_a_draining_backend_gets_no_new_calls_and_a_new_address_no_old_connection() -> None:
+def test_a_draining_backend_gets_no_new_calls_and_connections_to_an_old_address_are_closed() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         one, two, moved = Backend(), await Backend().start(), await Backend().start()
@@ -359,28 +359,27 @@
     run(test())
 
 
-def test_long_requests_and_answers_pass_whole() -> None:
+def test_large_requests_and_answers_are_forwarded_completely() -> None:
     async def test() -> None:
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(response(200, seen.body * 2))
 
         async with proxy({"s-1": Backend(behave)}) as node:
             body = bytes(range(251)) * 500
-            for number in range(20):  # each frees its memory for the next
+            for number in range(20):  # a finished request frees its memory for the next one
                 reply = await (await node.caller()).call("canje", f"{number:016x}", body=body)
                 assert (reply.code, reply.body) == (200, body * 2)
 
     run(test())
 
 
-def test_requests_that_come_at_once_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
             caller = await node.caller()
             for number in range(40):
-                caller.send(
-                    "canje", f"{number:016x}", budget="6000m"
-                )  # the budget of all of them runs from the start
+                # The budget of all of them runs from the start.
+                caller.send("canje", f"{number:016x}", budget="6000m")
             bodies = [(await caller.answer()).body for _ in range(40)]
         assert bodies == [b"done " + f"{n:016x}".encode() for n in range(40)]
 
@@ -417,7 +416,7 @@
     run(test())
 
 
-def test_after_sigterm_the_proxy_serves_on_finishes_open_calls_and_exits_0() -> None:
+def test_after_sigterm_the_proxy_keeps_serving_finishes_open_calls_and_exits_0() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -27,11 +27,11 @@
         return await discovery.requests.get()
 
 
-def test_a_reload_asks_the_new_address_for_changes_and_accepts_a_whole_list() -> None:
+def test_a_reload_requests_changes_from_the_new_address_and_accepts_a_full_list() -> None:
     """EDGE_DISCOVERY must not override the file on a reload, or the address could never change.
 
-    The new address is asked for the changes since the known version: otherwise all proxies would fetch whole
-    lists at once.
+    Only the changes since the known version are requested from the new address: otherwise all proxies would
+    fetch full lists at once.
     """
 
     async def test() -> None:
@@ -40,23 +40,23 @@
             caller = await node.caller()
             assert (await caller.call("stock", "1" * 16)).code == 200
             held = 1
-            for round, backend in enumerate([two, one, two], start=2):
+            for version, backend in enumerate([two, one, two], start=2):
                 server = await Discovery().start()
-                server.publish(round, endpoint(f"s-{round}", backend.address), snapshot=True)
+                server.publish(version, endpoint(f"s-{version}", backend.address), snapshot=True)
                 node.reload(discovery=server.address)
                 assert await next_request(server) == f"/v1/servers?from={held}&hold_ms={CONFIRM_HOLD_MS}"
-                assert (await next_request(server)).startswith(f"/v1/servers?from={round}&hold_ms=")
+                assert (await next_request(server)).startswith(f"/v1/servers?from={version}&hold_ms=")
                 before = backend.call_count
-                assert (await caller.call("canje", f"{round:016x}")).code == 200
+                assert (await caller.call("canje", f"{version:016x}")).code == 200
                 assert backend.call_count == before + 1
-                held = round
+                held = version
         await two.stop()
 
     run(test())
 
 
 def test_a_reload_retries_at_once_while_the_new_address_is_unavailable() -> None:
-    """A change must be in force 4 s after its publication; the module's pause after a failure is longer."""
+    """A change must be in force 4 s after its publication; the balancer's pause after a failure is longer."""
 
     async def test() -> None:
         new = Discovery()
