--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -214,7 +214,7 @@
             "must ask in",
             settings.must_ask_within,
             SECONDS,
-            "the longest time without asking; after it, all changes count as notified",
+            "longest time without a watch or a request to discovery; after it all changes count as notified",
         ),
     ]
     return Section("discovery", entries)
