--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -41,7 +41,8 @@
     """A line is invalid; the message names the field."""
 
 
-def _split(parts: Iterable[str]) -> Fields:
+def _parse_pairs(parts: Iterable[str]) -> Fields:
+    """Parses words of the form name=value. Raises WireError."""
     try:
         return dict([part.split("=", 1) for part in parts])
     except ValueError:
@@ -65,6 +66,7 @@
 
 
 def _number(fields: Fields, key: str, default: float | None = None) -> float:
+    """Returns a finite number. Raises WireError, also if the field is missing and has no default."""
     text = fields.get(key)
     if text is None:
         if default is None:
@@ -94,16 +96,18 @@
     return _int(fields, key) if key in fields else default
 
 
-def _choice(fields: Fields, key: str, words: dict[str, str], default: str) -> str:
+def _choice(fields: Fields, key: str, values: dict[str, str], default: str) -> str:
+    """Returns the value for the text of a setting; the default if it is missing or empty."""
     text = fields.get(key, "")
     if not text:
         return default
-    if text not in words:
+    if text not in values:
         raise ValueError(f"setting {key} is out of range: {text!r}")
-    return words[text]
+    return values[text]
 
 
 def _load_report(fields: Fields) -> dict[str, float] | None:
+    """Returns the known values of a load report; None if there is no report."""
     text = fields.get("load")
     if not text or text == "-":
         return None
@@ -121,13 +125,14 @@
 
 
 def _status(fields: Fields) -> int:
+    """Returns the number of an api.Status."""
     status = _int(fields, "reason")
     if not 0 <= status <= max(api.Status):
         raise WireError(f"field reason is unknown: {status}")
     return status
 
 
-def _split_names(text: str) -> tuple[str, ...]:
+def _comma_separated(text: str) -> tuple[str, ...]:
     return tuple(name for name in text.split(",") if name)
 
 
@@ -179,9 +184,9 @@
         me=_int(params, "me"),
         balancers=_int(params, "balancers"),
         stage=_int_or(params, "stage", 0),
-        stages=len(_split_names(params.get("stages", ""))) or _int_or(params, "stage", 0) + 1,
-        zones=_split_names(params.get("dcs", "")),
-        kinds=_split_names(params.get("kinds", "")),
+        stages=len(_comma_separated(params.get("stages", ""))) or _int_or(params, "stage", 0) + 1,
+        zones=_comma_separated(params.get("dcs", "")),
+        kinds=_comma_separated(params.get("kinds", "")),
         quantum=_number(params, "quantum", 0.0),
         ask_for_list=discovery == "ask",
         must_ask_within=_number(params, "contract.must_ask_in", 10.0),
@@ -197,7 +202,7 @@
         over_share_worth=_number(params, "over_share_worth", 1.0),
         worth_by_work=_choice(params, "worth_by", UTILITY_UNITS, "request") == "work",
         passes_deadline=_bool(params, "specifics.passes_deadline", False),
-        report_names=tuple(n for n in _split_names(params.get("report.names", "")) if n in REPORT_NAMES),
+        report_names=tuple(n for n in _comma_separated(params.get("report.names", "")) if n in REPORT_NAMES),
         reports=_choice(params, "report.via", REPORT_CHANNELS, "probe"),
         weights=_choice(params, "weights", WEIGHT_SOURCES, "nominal"),
         connect_timeout=_number(params, limits + "connect_timeout", 0.25),
@@ -227,10 +232,11 @@
 
 
 def _entry(line: str) -> api.ServerEntry:
+    """Parses a line that is an entry of a server list."""
     tag, *parts = line.split(" ")
     if tag != "m":
         raise WireError("expected a list entry")
-    fields = _split(parts)
+    fields = _parse_pairs(parts)
     state = _text(fields, "state")
     if state not in SERVER_STATES:
         raise WireError(f"field state is unknown: {state!r}")
@@ -270,7 +276,7 @@
     )
 
 
-def _stream(fields: Fields) -> api.Event:
+def _stream_started(fields: Fields) -> api.Event:
     return api.StreamStarted(
         _int(fields, "call"),
         _int(fields, "shot"),
@@ -283,7 +289,7 @@
     return api.Gone(_int(fields, "call"))
 
 
-def _probed(fields: Fields) -> api.Event:
+def _probe_result(fields: Fields) -> api.Event:
     return api.Probed(
         _int(fields, "backend"), _status(fields), _number(fields, "cost_time", 0.0), _load_report(fields)
     )
@@ -293,7 +299,7 @@
     return api.Timer(_int(fields, "key_back"))
 
 
-def _peer(fields: Fields) -> api.Event:
+def _peer_message(fields: Fields) -> api.Event:
     text = _text(fields, "data")
     try:
         data = b"" if text == "-" else bytes.fromhex(text)
@@ -306,11 +312,11 @@
 EVENT_READERS = {
     "ingress": _arrival,
     "settled": _outcome,
-    "first": _stream,
+    "first": _stream_started,
     "hangup": _caller_gone,
-    "pong": _probed,
+    "pong": _probe_result,
     "wakeup": _timer,
-    "datagram": _peer,
+    "datagram": _peer_message,
 }
 
 
@@ -372,7 +378,7 @@
             tag, _, rest = line.partition(" ")
             if tag != "tick":
                 raise WireError("expected a tick")
-            fields = _split(rest.split(" "))
+            fields = _parse_pairs(rest.split(" "))
             self.now = _number(fields, "clock")
             seq = _text(fields, "seq")
             self.read_batch()
@@ -398,7 +404,7 @@
             tag = parts[0]
             reader = readers.get(tag)
             if reader is not None:
-                fields = _split(parts[1:])
+                fields = _parse_pairs(parts[1:])
                 event = reader(fields)
                 who = _text(fields, "who")
                 if who in pending:
@@ -408,18 +414,18 @@
             elif tag == "your_turn":
                 return
             elif tag == "membership":
-                self.on_list(_split(parts[1:]))
+                self.on_list(_parse_pairs(parts[1:]))
             elif tag == "manifest":
-                self.on_manifest(_split(parts[1:]))
+                self.on_manifest(_parse_pairs(parts[1:]))
             elif tag == "new_instance":
-                fields = _split(parts[1:])
+                fields = _parse_pairs(parts[1:])
                 who = _text(fields, "who")
                 self.pending.pop(who, None)
                 settings = read_settings(fields)
                 self.instances[who] = Balancer(settings, _int(fields, "entropy"))
                 pending[who] = []
             elif tag == "stop":
-                who = _text(_split(parts[1:]), "who")
+                who = _text(_parse_pairs(parts[1:]), "who")
                 pending.pop(who, None)
                 self.instances.pop(who, None)
             elif not tag or tag in NON_EVENT_TAGS:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -29,13 +29,13 @@
 from granitepoint.membership.health_checks import LEASE_DURATION
 from granitepoint.membership.list_lease import NOTIFIED_AFTER as SILENCE_NOTIFIED_AFTER
 from granitepoint.membership.list_lease import NOTIFIED_AFTER_HOLD
-from granitepoint.net import discovery as net
+from granitepoint.net import discovery as discovery_module
 from granitepoint.net.discovery_channel import Channel
 from granitepoint.net.listing import Listing
 
 ADDRESS = "127.0.0.1:9"
 # Target of the first call to a new address, if version 1 is current or the last change started from it.
-FIRST_TARGET = f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}"
+FIRST_TARGET = f"/v1/servers?from=1&hold_ms={discovery_module.CONFIRM_HOLD_MS}"
 
 
 class ReceivedCall:
@@ -76,7 +76,9 @@
     async def client(self, pushed: bool = False) -> Any:
         server = await asyncio.start_server(self._connection, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()[:2]
-        client = net.DiscoveryClient(address, 1, self.lists.put_nowait, self._failed, Random(1), pushed)
+        client = discovery_module.DiscoveryClient(
+            address, 1, self.lists.put_nowait, self._failed, Random(1), pushed
+        )
         try:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 yield client
@@ -93,8 +95,8 @@
 
 def set_watch_timeouts(monkeypatch: pytest.MonkeyPatch, wait: float) -> None:
     """Sets the seconds after which a watch is opened anew, whether or not the list is confirmed."""
-    monkeypatch.setattr(net, "RENEW_AFTER_S", wait)
-    monkeypatch.setattr(net, "CONFIRM_TIMEOUT_S", wait)
+    monkeypatch.setattr(discovery_module, "RENEW_AFTER_S", wait)
+    monkeypatch.setattr(discovery_module, "CONFIRM_TIMEOUT_S", wait)
 
 
 def states(received: Listing) -> list[str]:
@@ -103,24 +105,27 @@
 
 def test_a_watch_is_renewed_early_enough_for_retries_before_silence_counts_as_notified() -> None:
     queue_time = 2.0  # seconds that a call may wait before it fails
-    notified_after = net.HOLD_MS / 1000 + 2.0
+    notified_after = discovery_module.HOLD_MS / 1000 + 2.0
     # The retry delay is no longer than the wait before it.
-    assert notified_after - net.RENEW_AFTER_S >= queue_time + queue_time + queue_time
+    assert notified_after - discovery_module.RENEW_AFTER_S >= queue_time + queue_time + queue_time
     # Leases cover the time after the first failure.
-    assert notified_after - net.RENEW_AFTER_S >= LEASE_DURATION
-    assert net.HOLD_MS <= 60_000
+    assert notified_after - discovery_module.RENEW_AFTER_S >= LEASE_DURATION
+    assert discovery_module.HOLD_MS <= 60_000
 
 
 def test_a_first_call_is_repeated_in_time_if_it_is_dead_but_not_while_it_is_queued() -> None:
     """What a dead first call misses counts as notified 6 s after it went silent, as its hold is short."""
-    queue_time, hold = 2.0, net.CONFIRM_HOLD_MS / 1000
-    assert queue_time + hold < net.CONFIRM_TIMEOUT_S * (1 - net.TIMEOUT_JITTER)
+    queue_time, hold = 2.0, discovery_module.CONFIRM_HOLD_MS / 1000
+    assert queue_time + hold < discovery_module.CONFIRM_TIMEOUT_S * (1 - discovery_module.TIMEOUT_JITTER)
     assert (
-        net.CONFIRM_TIMEOUT_S + queue_time + hold
+        discovery_module.CONFIRM_TIMEOUT_S + queue_time + hold
         < SILENCE_NOTIFIED_AFTER
         == max(SILENCE_NOTIFIED_AFTER, hold + NOTIFIED_AFTER_HOLD)
     )
-    assert queue_time + hold < net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD - net.RENEW_AFTER_S
+    assert (
+        queue_time + hold
+        < discovery_module.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD - discovery_module.RENEW_AFTER_S
+    )
 
 
 @pytest.mark.parametrize("confirmed", [False, True])
@@ -131,23 +136,23 @@
 
     async def test() -> None:
         peer = ScriptedDiscovery()
-        evidence: list[net.Evidence] = []
+        evidence: list[discovery_module.Evidence] = []
         async with peer.client() as client:
             client.on_evidence = evidence.append
-            monkeypatch.setattr(net, "RENEW_AFTER_S", 0.05)
+            monkeypatch.setattr(discovery_module, "RENEW_AFTER_S", 0.05)
             client.watch(True)
             call = await peer.next("/v1/servers?from=1&")
             if confirmed:
                 call.answer(1)
                 await peer.next("/v1/servers?from=1&")
-                await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
+                await peer.next(f"/v1/servers?from=1&hold_ms={discovery_module.CONFIRM_HOLD_MS}")
             else:
                 set_watch_timeouts(monkeypatch, 0.05)
                 client.watch(True)
                 await peer.next("/v1/servers?from=1&")
-                await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
+                await peer.next(f"/v1/servers?from=1&hold_ms={discovery_module.CONFIRM_HOLD_MS}")
             notified_within = (
-                net.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD if confirmed else SILENCE_NOTIFIED_AFTER
+                discovery_module.HOLD_MS / 1000 + NOTIFIED_AFTER_HOLD if confirmed else SILENCE_NOTIFIED_AFTER
             )
             lost = [each for each in evidence if isinstance(each, WatchLost)]
             assert notified_within - 1.0 < lost[0].notified_within < notified_within and not client.confirmed
@@ -179,7 +184,11 @@
 
 def test_a_first_list_is_not_requested_twice_while_the_call_is_queued() -> None:
     """All proxies move at once, and twice the calls would take twice as long."""
-    assert net.MOVE_RETRY_AFTER_S * (1 - net.TIMEOUT_JITTER) > MAX_QUEUE_TIME * 0.9 > 2.0
+    assert (
+        discovery_module.MOVE_RETRY_AFTER_S * (1 - discovery_module.TIMEOUT_JITTER)
+        > MAX_QUEUE_TIME * 0.9
+        > 2.0
+    )
 
 
 def test_a_dead_watch_is_renewed_beside_the_open_call(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -248,7 +257,7 @@
 def test_the_first_list_of_a_new_address_is_requested_again_if_the_call_is_dead(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net, "MOVE_RETRY_AFTER_S", 0.05)
+    monkeypatch.setattr(discovery_module, "MOVE_RETRY_AFTER_S", 0.05)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -257,7 +266,7 @@
             silent = await peer.next(FIRST_TARGET)
             second = await peer.next(FIRST_TARGET)
             assert silent.connection != second.connection
-            monkeypatch.setattr(net, "MOVE_RETRY_AFTER_S", TEST_TIMEOUT_S)
+            monkeypatch.setattr(discovery_module, "MOVE_RETRY_AFTER_S", TEST_TIMEOUT_S)
             second.answer(9, endpoint("s-1", ADDRESS), snapshot=True)
             while (await peer.calls.get()).target == FIRST_TARGET:
                 pass  # a third call may have been sent in the meantime
@@ -318,7 +327,7 @@
             await peer.next("/v1/servers?from=2&")
             assert states(await peer.lists.get()) == ["draining"] and peer.failures == 0
             client.move(client.address)  # as on SIGHUP; its first call is repeated however often it fails
-            for _ in range(net.MAX_MOVE_TRIES + 1):
+            for _ in range(discovery_module.MAX_MOVE_TRIES + 1):
                 (await peer.next(FIRST_TARGET)).fail()  # from the version before the last change
             (await peer.next(FIRST_TARGET)).answer(9, snapshot=True)
             await peer.next("/v1/servers?from=9&")
@@ -333,7 +342,7 @@
         draining, added = Backend(), await Backend().start()
         async with proxy({"s-1": draining}, discovery, discovery="push") as node:
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                await discovery.wait_for_request(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
+                await discovery.wait_for_request(f"/v1/servers?from=1&hold_ms={discovery_module.HOLD_MS}")
                 discovery.publish(
                     2, endpoint("s-1", draining.address, "Terminating"), endpoint("s-2", added.address)
                 )
@@ -369,7 +378,7 @@
     """Changes count as notified 4 s after SIGHUP, and a call that is repeated is queued from the start. The
     first watch of the balancer comes at a random time within 2 s of the start, so possibly while that call is
     open."""
-    monkeypatch.setattr(net, "MOVE_RETRY_AFTER_S", TEST_TIMEOUT_S)
+    monkeypatch.setattr(discovery_module, "MOVE_RETRY_AFTER_S", TEST_TIMEOUT_S)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -392,7 +401,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The watch that retried by itself has ended, and it had replaced one that a second move cancelled."""
-    monkeypatch.setattr(net, "Backoff", lambda random, **rest: backoff.Backoff(random, max_pause=0.001))
+    monkeypatch.setattr(
+        discovery_module, "Backoff", lambda random, **rest: backoff.Backoff(random, max_pause=0.001)
+    )
 
     async def test() -> None:
         peer = ScriptedDiscovery()
@@ -400,7 +411,7 @@
             client.on_failed = lambda: client.watch(True)
             client.move(client.address)
             client.move(client.address)  # the first one has not made a call yet
-            for _ in range(net.MAX_MOVE_TRIES + 1):
+            for _ in range(discovery_module.MAX_MOVE_TRIES + 1):
                 (await peer.next(FIRST_TARGET)).fail()
             (await peer.next(FIRST_TARGET)).answer(3, snapshot=True)
             await peer.next("/v1/servers?from=3&")
@@ -433,16 +444,16 @@
         peer = ScriptedDiscovery()
         async with peer.client() as client:
             client.watch(True)
-            call = await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
+            call = await peer.next(f"/v1/servers?from=1&hold_ms={discovery_module.CONFIRM_HOLD_MS}")
             call.answer(1)
-            call = await peer.next(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
+            call = await peer.next(f"/v1/servers?from=1&hold_ms={discovery_module.HOLD_MS}")
             assert client.confirmed
             call.fail()
             while not peer.failures:
                 await asyncio.sleep(0)
             assert not client.confirmed
             client.watch(True)
-            await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
+            await peer.next(f"/v1/servers?from=1&hold_ms={discovery_module.CONFIRM_HOLD_MS}")
 
     run(test())
 
@@ -463,7 +474,7 @@
     run(test())
 
 
-class FailingClient(net.DiscoveryClient):
+class FailingClient(discovery_module.DiscoveryClient):
     """One of many clients of an unreachable discovery: each call fails at once, and delays take no time."""
 
     def __init__(self, seed: int, pushed: bool) -> None:
@@ -474,7 +485,7 @@
     def _failed(self) -> None:
         self.failed.set()
 
-    async def _make_call(self, channel: Any, timeout: float, call: net.DiscoveryCall) -> bool:
+    async def _make_call(self, channel: Any, timeout: float, call: discovery_module.DiscoveryCall) -> bool:
         self.last_failure = Failure.WAITED
         if len(self.pauses) >= 10:
             self.failed.set()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -33,7 +33,7 @@
 from granitepoint.__main__ import drain
 from granitepoint.benchlink import read_settings
 from granitepoint.interface import Effect, Status
-from granitepoint.net import upstream as up
+from granitepoint.net import upstream as upstream_module
 from granitepoint.net.config import Config, flatten_settings
 from granitepoint.net.driver import Driver
 from granitepoint.net.listing import read_listing
@@ -287,7 +287,7 @@
             (exchange,) = proxy.driver.in_flight.values()
             assert exchange.send_deadline < exchange.started_at + 6.0  # the deduplication window of the class
             if moment == "before its last byte":
-                monkeypatch.setattr(up, "LAST_BYTE_DELAY_S", TEST_TIMEOUT_S)
+                monkeypatch.setattr(upstream_module, "LAST_BYTE_DELAY_S", TEST_TIMEOUT_S)
                 connect_allowed.set()
                 await proxy.wait_until(lambda: exchange.connection is not None)
                 exchange.send_deadline = 0.0
@@ -373,9 +373,14 @@
             last = await attempt(proxy)
             caller = socket.create_connection(("127.0.0.1", proxy.port))
             started, written_requests = 0, []
-            run_on, start_exchange = up.Exchange.run_on, up.Connection.start_exchange
-
-            def disconnect_first(exchange: up.Exchange, connection: up.Connection) -> None:
+            run_on, start_exchange = (
+                upstream_module.Exchange.run_on,
+                upstream_module.Connection.start_exchange,
+            )
+
+            def disconnect_first(
+                exchange: upstream_module.Exchange, connection: upstream_module.Connection
+            ) -> None:
                 nonlocal started
                 if FIRST_ID.encode() in exchange.build_request(1.0):
                     started += 1
@@ -383,12 +388,12 @@
                         end(caller)
                 run_on(exchange, connection)
 
-            def record(connection: up.Connection, exchange: up.Exchange) -> None:
+            def record(connection: upstream_module.Connection, exchange: upstream_module.Exchange) -> None:
                 written_requests.append(exchange.build_request(1.0))
                 start_exchange(connection, exchange)
 
-            monkeypatch.setattr(up.Exchange, "run_on", disconnect_first)
-            monkeypatch.setattr(up.Connection, "start_exchange", record)
+            monkeypatch.setattr(upstream_module.Exchange, "run_on", disconnect_first)
+            monkeypatch.setattr(upstream_module.Connection, "start_exchange", record)
             head = b"POST /canje HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget: 6000m\r\n" % FIRST_ID.encode()
             caller.sendall(head + b"Content-Length: 0\r\n\r\n" + behind)
             await proxy.wait_until(lambda: started == last)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -20,7 +20,7 @@
 from test_discovery import ADDRESS, ScriptedDiscovery, states
 
 from granitepoint.membership.version_history import MAX_REPEATED_ENTRIES, VersionHistory
-from granitepoint.net import discovery as net
+from granitepoint.net import discovery as discovery_module
 
 CHANGED_SERVERS = {1, 2}
 FULL_LIST_TARGET = "/v1/servers"
@@ -76,7 +76,7 @@
 
 
 @asynccontextmanager
-async def moved_client(peer: ScriptedDiscovery) -> AsyncIterator[net.DiscoveryClient]:
+async def moved_client(peer: ScriptedDiscovery) -> AsyncIterator[discovery_module.DiscoveryClient]:
     """A client that got version 2, with a change of s-1, and was then moved to another address."""
     async with peer.client() as client:
         client.watch(True)
@@ -91,10 +91,10 @@
     async def test() -> None:
         peer = ScriptedDiscovery()
         async with moved_client(peer) as client:
-            call = await peer.next(f"/v1/servers?from=1&hold_ms={net.CONFIRM_HOLD_MS}")
+            call = await peer.next(f"/v1/servers?from=1&hold_ms={discovery_module.CONFIRM_HOLD_MS}")
             call.answer(3, endpoint("s-1", ADDRESS, "Gone"), endpoint("s-2", ADDRESS))
             assert states(await peer.lists.get()) == ["gone", "serving"]
-            await peer.next(f"/v1/servers?from=3&hold_ms={net.HOLD_MS}")
+            await peer.next(f"/v1/servers?from=3&hold_ms={discovery_module.HOLD_MS}")
             assert client._verification_task is None and client.confirmed
 
     run(test())
@@ -123,15 +123,15 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The watch continues in the meantime, and newer changes that it brings are kept."""
-    monkeypatch.setattr(net, "VERIFY_DELAY_S", 0.1)
-    monkeypatch.setattr(net, "VERIFY_SPREAD_S", 0.02)
+    monkeypatch.setattr(discovery_module, "VERIFY_DELAY_S", 0.1)
+    monkeypatch.setattr(discovery_module, "VERIFY_SPREAD_S", 0.02)
 
     async def test() -> None:
         peer = ScriptedDiscovery()
         async with peer.client() as client:
             client.move(client.address)
             (await peer.next("/v1/servers?from=1&")).answer(1)
-            watched = await peer.next(f"/v1/servers?from=1&hold_ms={net.HOLD_MS}")
+            watched = await peer.next(f"/v1/servers?from=1&hold_ms={discovery_module.HOLD_MS}")
             assert (await peer.lists.get()).version == 1
             for _ in range(2):
                 call = await peer.next(FULL_LIST_TARGET)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -180,10 +180,10 @@
         del params[key]
     else:
         params[key] = value
-    parsed = key.split(".")[-1] if value is not None else key
+    reported_key = key.split(".")[-1] if value is not None else key
     names = {"objective": "aim", "send_cap": "max_attempts", "count": "classes"}
     names["streams_per_conn"] = "calls_per_connection"
-    with pytest.raises(ValueError, match=names.get(parsed, parsed)):
+    with pytest.raises(ValueError, match=names.get(reported_key, reported_key)):
         read_settings(params)
 
 
