--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -222,7 +222,7 @@
                 listing.version,
                 listing.written_after,
                 listing.ends_watch,
-                service_time=listing.queue_time,
+                service_time=listing.service_time,
             )
         )
 
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -284,7 +284,7 @@
                 max(call.started_at, now - MAX_READ_DELAY_S) if call.continued else call.started_at
             )
             listing.ends_watch = call is self.newest_call
-            listing.queue_time = self._queue_time(listing, call, waited)
+            listing.service_time = self._service_time(listing, call, waited)
             self.on_list(listing)
         except Exception as error:
             error_text = str(error) or type(error).__name__
@@ -316,10 +316,11 @@
         )  # fmt: skip
         return False
 
-    def _queue_time(self, listing: Listing, call: DiscoveryCall, waited: float) -> float | None:
-        """Returns the seconds that a call waited in the queue of discovery; None if that is unknown.
+    def _service_time(self, listing: Listing, call: DiscoveryCall, waited: float) -> float | None:
+        """Returns the seconds that discovery needed for a call, mostly in its queue; None if that is unknown.
 
-        If nothing had changed, discovery held the call in addition.
+        The time for which discovery held the call, because nothing had changed, does not count. A call that
+        continued a watch has no known service time.
         """
         if call.continued:
             return None
@@ -330,7 +331,7 @@
         """Updates the state after a list has been delivered."""
         self.lists_received += 1
         self.version = listing.version
-        self.backoff.succeeded(listing.queue_time)
+        self.backoff.succeeded(listing.service_time)
         if self.moving:
             self.moving = False
             if not listing.full and not self.history.comparable:
@@ -340,7 +341,7 @@
         if call.is_watch:
             self.last_answer_at = now
             self.last_answer_unqueued = (
-                listing.queue_time is not None and listing.queue_time <= IMMEDIATE_FAILURE_TIME
+                listing.service_time is not None and listing.service_time <= IMMEDIATE_FAILURE_TIME
             )
             self.confirmed = True
 
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -281,7 +281,7 @@
             listing.version,
             listing.written_after,
             listing.ends_watch,
-            service_time=listing.queue_time,
+            service_time=listing.service_time,
         )
 
     def _on_list(self, listing: Listing) -> None:
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -40,7 +40,7 @@
     backends: list[ListedBackend]
     written_after: float | None = None  # monotonic; earliest time at which it was written; None: unknown
     ends_watch: bool = True  # it answers the newest call of the watch; otherwise that call is still open
-    queue_time: float | None = None  # seconds in the queue of discovery; None: unknown, on a continued watch
+    service_time: float | None = None  # seconds that discovery needed, without its hold; None: unknown
 
 
 def server_id(name: str) -> int:
