--- a/granitepoint/modelcheck/proxy.py
+++ b/granitepoint/modelcheck/proxy.py
@@ -269,7 +269,7 @@
             self.driver = driver.Driver(config)
             self.driver.discovery = DiscoveryStub()  # type: ignore[assignment]
             self.driver.balancer.list_lease.confirmed = True
-            advice = self.driver.retry_after_headers(driver.AT_CAPACITY_RETRY_AFTER)
+            advice = self.driver.retry_after_headers(driver.AT_CAPACITY_RETRY_AFTER_S)
             self.server = server.Server(self.driver.effects, self.driver, socket_limit, 64.0, advice)
             self.driver.start()
             self.server._sweep_later()
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -15,6 +15,7 @@
 
 MS_PER_SECOND = 1000
 
+# Status of a server in a list -> its state in the balancer.
 STATES_BY_STATUS = {
     "Ready": ServerState.SERVING,
     "Terminating": ServerState.DRAINING,
@@ -39,7 +40,7 @@
     backends: list[ListedBackend]
     written_after: float | None = None  # monotonic; earliest time at which it was written; None: unknown
     answers_newest_call: bool = True  # of the watch; otherwise that call is still open
-    queue_time: float | None = None  # seconds in the queue of discovery; None: unknown, on a continued watch
+    service_time: float | None = None  # seconds that discovery needed, without its hold; None: unknown
 
 
 def server_id(name: str) -> int:
