--- a/granitepoint/fleet/__main__.py
+++ b/granitepoint/fleet/__main__.py
@@ -1,6 +1,6 @@
 """The command line: `python -m granitepoint.fleet run EXPERIMENT.toml --out DIR`, or `slopes --out DIR`.
 
-Exit status: 0, or 1 if the fleet failed, 2 for bad input, 130 after an interrupt.
+Exit status: 0, or 1 if a process of the fleet failed, 2 for bad input, 130 after an interrupt.
 """
 
 from __future__ import annotations
@@ -34,7 +34,9 @@
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
     with Progress(*columns, console=error_console, transient=True) as display:
         task = display.add_task(name, total=1.0)
-        yield lambda text, share: display.update(task, description=f"{name}: {text}", completed=share)
+        yield lambda text, fraction_done: display.update(
+            task, description=f"{name}: {text}", completed=fraction_done
+        )
 
 
 @app.command
--- a/granitepoint/fleet/backends.py
+++ b/granitepoint/fleet/backends.py
@@ -1,6 +1,7 @@
-"""Hollow backends: simulated servers, many to a process, that answer after a randomly drawn time.
+"""Simulated backends: servers, many to a process, that answer after a randomly drawn service time.
 
-They follow PROTOCOL but do no work while a request "runs", so that a process can hold hundreds of them.
+They follow the specification PROTOCOL but do no work while a request runs, so that a process can hold
+hundreds of them.
 """
 
 from __future__ import annotations
@@ -16,14 +17,15 @@
 from granitepoint.fleet.wire import Listener, Message, Peer
 from granitepoint.interface import Settings
 
-DRAW_BATCH_SIZE = 4096  # random numbers that are drawn at a time
+DRAW_BATCH_SIZE = 4096  # service times that are drawn by one call of numpy
 IDLE_SWEEP_INTERVAL_S = 1.0
-# Starts a backend's own calls to the next service; the result is whether all of them were served.
+# Starts the calls that a backend makes to the next service in order to serve a request; the result of the
+# task is whether all of them were served.
 NextServiceCalls = Callable[["Backend", Message], asyncio.Task[bool]]
 
 
 def draw_service_times(sizes: BackendSizes, seed: int) -> Iterator[float]:
-    """Yields service times in seconds, log-normally distributed with the configured mean."""
+    """Yields service times in seconds, log-normally distributed with the configured mean and spread."""
     rng = np.random.default_rng(seed)
     mean = sizes.service_ms / 1000
     while True:
@@ -35,7 +37,10 @@
 
 
 class Backend:
-    """One server of a service: stopped, serving (cold for a while after a restart) or draining."""
+    """One server of a service: stopped, serving or draining.
+
+    After a restart it is cold for a while: its capacity is reduced, and it crashes under too much work.
+    """
 
     def __init__(
         self,
@@ -50,20 +55,21 @@
     ) -> None:
         self.name, self.zone, self.sizes, self.settings = name, zone, sizes, settings
         self.service_times, self.failure_draws, self.call_next = service_times, failure_draws, call_next
-        self.listeners = [Listener(self, host) for host in hosts]  # one for the callers of each region
+        self.listeners = [Listener(self, host) for host in hosts]  # one for the proxies of each region
         self.counts: Counter[str] = Counter()
         self.draining = False
         self.cold_since = 0.0  # monotonic; 0: warm
-        self.generation = 0  # of the simulated process; requests started by an earlier one are dropped
+        self.generation = 0  # counts the stops; a request that was running at a stop is never answered
         self.running = 0
         self.queue: deque[tuple[Peer, Message, float]] = deque()
-        self.cold_work: deque[tuple[float, float]] = deque()  # received while cold: monotonic time, seconds
+        # Of each request accepted while cold: its monotonic time and its service time in seconds.
+        self.cold_work: deque[tuple[float, float]] = deque()
         self.cold_work_sum = 0.0  # seconds of service time in `cold_work`
         self.next_call_tasks: set[asyncio.Task[bool]] = set()
 
     # Lifecycle
     def start(self, cold: bool = False) -> None:
-        """Starts serving; with `cold`, at reduced capacity at first."""
+        """Starts serving; with `cold`, at a reduced capacity that grows to the full one."""
         self.draining = False
         self.cold_since = time.monotonic() if cold else 0.0
         self.cold_work.clear()
@@ -72,7 +78,7 @@
             listener.open()
 
     def drain(self) -> None:
-        """Finishes accepted requests and rejects new ones."""
+        """From now on, rejects new requests; those accepted before are still served."""
         self.draining = True
 
     def stop(self) -> None:
@@ -91,7 +97,10 @@
         return sum(len(listener.peers) for listener in self.listeners)
 
     def capacity(self, now: float) -> float:
-        """Returns the fraction of the full capacity; that of a cold backend grows linearly."""
+        """Returns the present fraction of the full capacity.
+
+        It grows linearly from `cold_from` to 1 in the `cold_for` seconds after a cold start.
+        """
         if not self.cold_since:
             return 1.0
         age = (now - self.cold_since) / max(1e-9, self.settings.cold_for)
@@ -99,19 +108,19 @@
 
     def close_idle(self) -> None:
         """Closes connections that have been idle for longer than the settings allow."""
-        before = time.monotonic() - self.settings.conn_idle
+        idle_limit = time.monotonic() - self.settings.conn_idle
         for listener in self.listeners:
             for peer in list(listener.peers):
-                if peer.last_active_at < before and not peer.silent:
+                if peer.last_active_at < idle_limit and not peer.silent:
                     peer.close()
 
     # Connection events
     def on_connect(self, peer: Peer) -> None:
-        """Implements ConnectionHandler."""
+        """Implements ConnectionHandler: counts the connection."""
         self.counts["connections"] += 1
 
     def on_disconnect(self, peer: Peer) -> None:
-        """Implements ConnectionHandler."""
+        """Implements ConnectionHandler: requests of the connection run on."""
         pass
 
     def on_request(self, peer: Peer, message: Message) -> None:
@@ -157,10 +166,10 @@
         self._serve_next()
 
     def _crashes_cold(self, now: float, capacity: float, work: float) -> bool:
-        """Adds `work` seconds; whether a cold backend now crashes of overload.
+        """Adds a request of `work` seconds; returns whether it makes the cold backend crash from overload.
 
-        It does if the work received within `fall_within` exceeds `fall_multiple` times what its reduced
-        capacity can do in that time.
+        It crashes if the work received in the last `fall_within` seconds exceeds `fall_multiple` times what
+        its reduced capacity can do in that time.
         """
         span = self.settings.fall_within
         self.cold_work.append((now, work))
--- a/granitepoint/fleet/callers.py
+++ b/granitepoint/fleet/callers.py
@@ -1,7 +1,7 @@
-"""Open-loop load generator: simulated callers behind a load balancer, the front.
+"""Open-loop load generator: simulated callers that reach the proxies through a load balancer, the front.
 
-Latency counts from the planned send, so that a slow answer can't hide the calls that should have been sent
-meanwhile (coordinated omission).
+Latency counts from the planned send, so that the delay of calls that were sent too late because of a slow
+answer is not left out (coordinated omission).
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from granitepoint.fleet.wire import Answer, HttpConnection, split_address
 from granitepoint.interface import Effect, RequestClass
 
-BUSY_WAIT_S = 0.0015  # before a planned send; the timers of the event loop are too coarse for the last part
+# Callers poll the clock for this time before a planned send: timers of the event loop are too coarse.
+BUSY_WAIT_S = 0.0015
 HEALTH_CHECK_TIMEOUT_S = 1.0
 
 
@@ -28,7 +29,7 @@
 
 
 class ConnectionLost(Exception):
-    """The connection ended before a complete answer."""
+    """The connection failed, or was closed, before the answer was complete."""
 
 
 @dataclass(slots=True)
@@ -47,9 +48,10 @@
     It takes the live proxies of a zone in round-robin order, or those of all zones if that zone has none.
     """
 
-    def __init__(self, proxies: list[ProxyTarget], check_interval: float) -> None:
-        self.proxies, self.check_interval = proxies, check_interval  # s between the checks of one proxy
-        self.round_robin: Counter[str] = Counter()  # choices made so far, by zone
+    def __init__(self, proxies: list[ProxyTarget], health_check_interval: float) -> None:
+        # `health_check_interval`: seconds between two health checks of the same proxy.
+        self.proxies, self.health_check_interval = proxies, health_check_interval
+        self.choice_counts: Counter[str] = Counter()  # calls of `choose`, by zone
         self.live_by_zone: dict[str, list[ProxyTarget]] = {}
         self.health_checks = 0
         self._update_live()
@@ -83,25 +85,26 @@
             await asyncio.sleep(0.02)
 
     async def run_health_checks(self) -> None:
-        """Checks each proxy every `check_interval` seconds, evenly spread, until cancelled."""
+        """Checks each proxy every `health_check_interval` seconds, evenly spread, until cancelled."""
         while True:
             for proxy in list(self.proxies):
-                await asyncio.sleep(self.check_interval / len(self.proxies))
+                await asyncio.sleep(self.health_check_interval / len(self.proxies))
                 await self.check_health(proxy)
 
     def choose(self, zone: str) -> ProxyTarget:
-        """Returns the next proxy for callers of this zone. Raises NoProxyAvailable."""
+        """Returns the next live proxy in turn for callers of this zone. Raises NoProxyAvailable."""
         proxies = self.live_by_zone.get(zone) or [proxy for proxy in self.proxies if proxy.up]
         if not proxies:
             raise NoProxyAvailable
-        self.round_robin[zone] += 1
-        return proxies[self.round_robin[zone] % len(proxies)]
+        self.choice_counts[zone] += 1
+        return proxies[self.choice_counts[zone] % len(proxies)]
 
     async def send_request(self, zone: str, data: bytes) -> Answer:
-        """Sends a serialized request through a proxy of the zone and returns the answer.
+        """Sends a serialized request to the proxy that `choose` returns, and returns the answer.
 
-        If the proxy closes an idle connection just as the request is sent on it, the request is sent once
-        more, on a new connection. Raises NoProxyAvailable and ConnectionLost.
+        If a reused connection ends before any part of the answer, the proxy has probably closed it as idle
+        when the request was sent: the request is then sent once more, on a new connection. Raises
+        NoProxyAvailable and ConnectionLost.
         """
         proxy = self.choose(zone)
         while proxy.idle_connections:
@@ -137,7 +140,7 @@
 
 
 def build_request(cls: RequestClass, call_id: str, budget: float, is_retry: bool) -> bytes:
-    """Returns a request in the format of PROTOCOL; `budget` is in seconds."""
+    """Returns a serialized request as the specification PROTOCOL describes it; `budget` is in seconds."""
     method = "GET" if cls.effect is Effect.REPEATABLE else "POST"
     lines = [f"{method} /{cls.name} HTTP/1.1", "Host: service.internal", f"X-Call-Id: {call_id}"]
     lines.append(f"X-Budget: {max(1, round(budget * 1e6))}u")
@@ -154,13 +157,15 @@
     """Outcomes and latencies of the calls."""
 
     def __init__(self) -> None:
-        # By class: from the planned send to the last byte of the answer, of served calls.
+        # Of served calls, by class: the time from the planned send to the last byte of the answer.
         self.latency: dict[str, Histogram] = {}
-        self.added_latency = Histogram()  # of served first tries: duration less the backend's own time
-        self.send_delay = Histogram()  # from the planned to the actual send: delays in the callers themselves
-        self.by_second: dict[int, Counter[str]] = {}  # outcomes by second of the planned send
+        # Of calls served at the first try: the time from the try to the answer, less the backend's own time.
+        self.added_latency = Histogram()
+        # From the planned to the actual send of the first try; caused by the callers themselves.
+        self.send_delay = Histogram()
+        self.by_second: dict[int, Counter[str]] = {}  # second of the planned send: calls by outcome
         self.tries = 0
-        self.by_zone: Counter[str] = Counter()  # keys: zone and outcome
+        self.by_zone: Counter[str] = Counter()  # calls by "ZONE OUTCOME"
 
     def record_outcome(self, second: int, zone: str, outcome: str) -> None:
         """Counts a call that has ended; `second` is that of its planned send, from the start of the
@@ -170,7 +175,7 @@
 
 
 class Callers:
-    """Sends calls at planned times, independently of how earlier calls fare."""
+    """Sends calls at planned times, whether earlier calls have been answered or not."""
 
     def __init__(
         self,
@@ -186,11 +191,13 @@
         self.classes = [cls for cls in classes if mix.get(cls.name, 0.0 if mix else 1.0) > 0]
         shares = np.array([mix.get(cls.name, 1.0) for cls in self.classes])
         self.shares = shares / shares.sum()
-        self.retries, self.retry_wait = retries, retry_wait  # further tries; s before the first, then doubled
+        # `retries`: most retries of a call. `retry_wait`: mean wait in seconds before the first of them,
+        # doubled for each further one.
+        self.retries, self.retry_wait = retries, retry_wait
         self.seed = seed
         self.rng = np.random.default_rng(seed)
         self.tally = Tally()
-        self.measured_from = 0.0  # monotonic; calls that are planned for before are not counted
+        self.measured_from = 0.0  # monotonic; calls planned for an earlier time are not counted
         self.calls: set[asyncio.Task[None]] = set()
         self.call_ids = self._generate_call_ids()
 
@@ -231,7 +238,10 @@
             await asyncio.wait(set(self.calls))
 
     async def call(self, cls: RequestClass, zone: str, planned_at: float) -> None:
-        """Makes one call, with retries, and records its outcome; `planned_at` is a monotonic time."""
+        """Makes one call, with retries, and records its outcome; `planned_at` is a monotonic time.
+
+        Only a refused call, one that found no proxy, or one of a repeatable class is retried.
+        """
         deadline = planned_at + cls.deadline
         tally, counted = self.tally, planned_at >= self.measured_from
         outcome, tries, wait = "failed", 0, self.retry_wait
--- a/granitepoint/fleet/discovery.py
+++ b/granitepoint/fleet/discovery.py
@@ -1,7 +1,11 @@
-"""Simulated discovery service with a limited capacity: full lists and watches as in PROTOCOL.
+"""Simulated discovery service with a limited capacity.
 
-Each proxy gets an endpoint (address) of its own, so that its calls and bytes can be counted without any mark
-in the calls, and so that the proxies of one zone can be partitioned from discovery.
+As in the specification PROTOCOL, it answers with full lists or with changes, and holds watches.
+A watch is a call that names the version that the proxy has; it is answered when the list changes, or when its
+hold time is over. The proxy continues the watch with its next call.
+
+Each proxy gets an endpoint (address) of its own, so that its calls and bytes can be counted although the
+calls don't name the proxy, and so that the proxies of one zone can be partitioned from discovery.
 """
 
 from __future__ import annotations
@@ -19,12 +23,15 @@
 from granitepoint.fleet.wire import Listener, Message, Peer
 
 MAX_WATCH_GAP_S = 0.2  # between an answer and the next call, if the call is to continue the watch
-MAX_HOLD_S = 60.0
-TIMELINE_SLOT_S = 0.1
+MAX_HOLD_S = 60.0  # a watch is held for at most this time, whatever the call asks for
+TIMELINE_SLOT_S = 0.1  # calls are counted by slots of this length
 
 
 class ListedBackend(msgspec.Struct):
-    """A backend as it is listed. The address is the one that the reader's region uses."""
+    """An entry of a server list, as it is sent to proxies.
+
+    `address` is empty until an answer is encoded: each region has an address of its own for a backend.
+    """
 
     name: str
     address: str
@@ -33,7 +40,7 @@
     group: int
     status: str
     weight: float
-    since_ms: int
+    since_ms: int  # wall-clock time of its last return to the list; 0: listed from the start
 
 
 class ServiceList:
@@ -42,11 +49,13 @@
     def __init__(self, kept_changes: int, first_version: int = 1) -> None:
         self.version = first_version
         self.entries: dict[str, ListedBackend] = {}
-        self.addresses: dict[str, list[str]] = {}  # by backend name, then by region
-        self.changes: deque[tuple[int, list[str]]] = deque(maxlen=kept_changes)  # version, changed names
+        self.addresses: dict[str, list[str]] = {}  # backend name: its address for each region
+        # The recent changes: version and names of the changed backends.
+        self.changes: deque[tuple[int, list[str]]] = deque(maxlen=kept_changes)
         self.removed: dict[str, ListedBackend] = {}
         self.changed_at: dict[int, float] = {}  # monotonic, by version
-        self.encoded_answers: dict[tuple[int, int], bytes] = {}  # cache for the current version
+        # Cache for the current version: the version that the proxy has (-1 for a full list) and its region.
+        self.encoded_answers: dict[tuple[int, int], bytes] = {}
 
     def add(self, entry: ListedBackend, addresses: list[str]) -> None:
         """Adds a backend to the first version; `addresses` has one for each region."""
@@ -58,9 +67,9 @@
         self.version += 1
         self.encoded_answers.clear()
         self.changed_at[self.version] = time.monotonic()
-        changed = list(names)
-        self.changes.append((self.version, changed))
-        for name in changed:
+        changed_names = list(names)
+        self.changes.append((self.version, changed_names))
+        for name in changed_names:
             entry = self.entries.get(name) or self.removed.pop(name)
             entry.status = status or entry.status
             entry.weight = weight or entry.weight
@@ -73,7 +82,7 @@
         return self.version
 
     def has_changes_since(self, version: int) -> bool:
-        """Whether all changes after this version are still kept."""
+        """Whether this version exists and all changes after it are still kept."""
         if version > self.version or version < 1:
             return False
         return version == self.version or bool(self.changes and self.changes[0][0] <= version + 1)
@@ -91,9 +100,9 @@
         else:
             names = dict.fromkeys(
                 name
-                for change_version, changed in self.changes
+                for change_version, changed_names in self.changes
                 if change_version > (version or 0)
-                for name in changed
+                for name in changed_names
             )
             entries = [self.entries.get(name) or self.removed[name] for name in names]
         if key not in self.encoded_answers:
@@ -118,17 +127,17 @@
     empty: int = 0  # answers without entries
     refused: int = 0
     watches_begun: int = 0
-    renewed: int = 0  # calls that continued a watch
+    renewed: int = 0  # calls that continued an earlier watch (see MAX_WATCH_GAP_S)
     notified_at: dict[int, float] = field(default_factory=dict)  # version: monotonic time of its first answer
 
 
 class WorkQueue:
-    """A single server that does its work in order of arrival."""
+    """Computes when a server that does one piece of work after another, in order of arrival, is done."""
 
     def __init__(self, max_wait: float) -> None:
         self.max_wait = max_wait  # s
-        self.free_at = 0.0  # monotonic
-        self.busy_time = 0.0  # s of accepted work
+        self.free_at = 0.0  # monotonic time at which all accepted work is done
+        self.busy_time = 0.0  # total duration of the accepted work, s
 
     def schedule(self, now: float, duration: float) -> float | None:
         """Adds work of `duration` seconds and returns the time at which it will be done.
@@ -144,7 +153,7 @@
 
 
 class DiscoveryEndpoint:
-    """The address at which one proxy asks discovery, with its open watches and counts."""
+    """The address at which one proxy calls discovery, with its open watches and counts."""
 
     def __init__(
         self, discovery: Discovery, name: str, service_list: ServiceList, zone: str, region: int, host: str
@@ -154,12 +163,13 @@
         )  # fmt: skip
         self.listener = Listener(self, host)
         self.counts = CallCounts()
-        self.watches: dict[Peer, tuple[int, asyncio.TimerHandle]] = {}  # version, timer that ends the hold
+        # The open watches: the version that the proxy has, and the timer that ends the hold.
+        self.watches: dict[Peer, tuple[int, asyncio.TimerHandle]] = {}
         self.watch_continues_until = 0.0  # monotonic; a call that arrives by then continues the watch
-        self.oldest_version = 0  # the oldest version that the proxy certainly has
+        self.oldest_version = 0  # always 0, not used
 
     def on_connect(self, peer: Peer) -> None:
-        """Implements ConnectionHandler."""
+        """Implements ConnectionHandler: nothing to do."""
         pass
 
     def on_disconnect(self, peer: Peer) -> None:
@@ -169,7 +179,7 @@
             watch[1].cancel()
 
     def on_request(self, peer: Peer, message: Message) -> None:
-        """Implements ConnectionHandler: answers a call in its turn, or holds it as a watch."""
+        """Implements ConnectionHandler: schedules the answer to a call, or holds the call as a watch."""
         path, _, query = message.target.partition("?")
         self.counts.calls += 1
         self.discovery.calls_by_slot[
@@ -249,7 +259,7 @@
 
 
 class Discovery:
-    """The discovery service that all proxies ask."""
+    """The simulated discovery service, with one server list for each service."""
 
     def __init__(self, sizes: DiscoverySizes) -> None:
         self.sizes = sizes
@@ -260,7 +270,7 @@
         self.calls_by_slot: Counter[int] = Counter()  # slots of TIMELINE_SLOT_S from `started_at`
 
     def service_time(self, entries: int) -> float:
-        """Returns the seconds of work for an answer with this many entries."""
+        """Returns the seconds of simulated work for an answer with this many entries."""
         return 1 / self.sizes.capacity_per_s + entries * self.sizes.entry_us * 1e-6
 
     def add_endpoint(self, name: str, service: int, zone: str, region: int, host: str) -> DiscoveryEndpoint:
@@ -295,7 +305,7 @@
             endpoint.listener.open()
 
     def partition(self, zones: Iterable[str]) -> None:
-        """Makes the endpoints of these zones unreachable."""
+        """Makes the endpoints of the proxies in these zones unreachable."""
         partitioned = set(zones)
         for endpoint in self.endpoints.values():
             if endpoint.zone in partitioned:
--- a/granitepoint/fleet/experiment.py
+++ b/granitepoint/fleet/experiment.py
@@ -1,6 +1,7 @@
 """An experiment file in TOML: the sizes of a fleet, the faults to inject and a seed.
 
-Times are in seconds unless the key names another unit.
+Times are in seconds unless the key names another unit. In a fault, `at_s` counts from the start of the
+measurement, and `for_s` is the duration.
 """
 
 from __future__ import annotations
@@ -30,9 +31,9 @@
     """The simulated discovery service, which answers one call at a time."""
 
     capacity_per_s: float = 2000.0  # answers a second
-    entry_us: float = 2.0  # processing time for each entry of an answer
-    patience_s: float = 2.0  # a call that would wait longer is refused
-    kept_changes: int = 512  # versions; a watch from an older one gets the whole list
+    entry_us: float = 2.0  # simulated processing time for each entry of an answer
+    patience_s: float = 2.0  # a call that would have to wait longer is answered with 503 after this time
+    kept_changes: int = 512  # versions; a watch from an older version is answered with the whole list
 
 
 class BackendSizes(_Strict):
@@ -44,12 +45,12 @@
     zones: list[str] = msgspec.field(default_factory=lambda: ["a", "b"])
     regions: list[list[str]] = []  # the zones of each region; none: a single region
     service_ms: float = 12.0  # mean of the service time
-    spread: float = 0.5  # sigma of the log-normal service time; 0: constant
-    fail_share: float = 0.0  # share of requests that are answered with 500
-    cores: int = 4  # concurrent requests
+    spread: float = 0.5  # sigma of the log-normal service times; 0: constant
+    fail_share: float = 0.0  # share of accepted requests that are answered with 500
+    cores: int = 4  # requests that run at the same time
     queue: int = 64  # requests that may wait for a core
-    connections: int = 256  # limit
-    handshake_ms: float = 0.0  # added to the first request of a connection
+    connections: int = 256  # above this number, the first request on a new connection is rejected
+    handshake_ms: float = 0.0  # added to the service time of the first request on a connection
     per_process: int = 200  # backends in one worker process
 
 
@@ -63,9 +64,9 @@
     real: int = 1  # real proxies of the first service
     hollow: int = 0  # hollow proxies of the first service; those of a chain's backends are added
     per_process: int = 110  # hollow proxies in one worker process
-    timed: bool = False  # hollow proxies measure the stages of each call
-    sockets: int = 1024  # limit of each proxy
-    memory_mb: float = 192.0  # limit of each proxy
+    timed: bool = False  # hollow proxies measure how long each call spends in each stage
+    sockets: int = 1024  # file descriptors that each proxy may use
+    memory_mb: float = 192.0  # memory that each proxy may use
 
 
 class CallerSizes(_Strict):
@@ -73,14 +74,14 @@
 
     rate_per_s: float = 50.0  # planned calls of all zones together
     processes: int = 1
-    mix: dict[str, float] = {}  # share of each class; none: equal shares
-    retries: int = 0  # maximum for a call that was refused or whose class is safe to repeat
+    mix: dict[str, float] = {}  # share of each class in the calls; none: equal shares
+    retries: int = 0  # most retries of a call; see Callers.call for the calls that are retried
     retry_wait_s: float = 0.05  # before the first retry; doubles with each
     notice_s: float = 3.0  # between the front's health checks of a proxy
 
 
 class Change(_Strict, tag="change", tag_field="kind"):
-    """Changes the weights of `entries` backends, all at once, `times` times."""
+    """Changes the weights of `entries` backends `times` times, with one new list version for each service."""
 
     at_s: float
     entries: int = 1
@@ -89,42 +90,42 @@
 
 
 class Restarts(_Strict, tag="restarts", tag_field="kind"):
-    """Drains, stops and restarts backends one after another over a period; they come back cold."""
+    """Restarts `count` backends, evenly spread over `over_s`: listed as draining, killed, started cold."""
 
     at_s: float
     count: int
     over_s: float
-    drain_s: float = 1.0  # from the drain to the stop of a backend
-    down_s: float = 2.0  # from its stop to its start
+    drain_s: float = 1.0  # from the change of a backend's status to Terminating until it is killed
+    down_s: float = 2.0  # until it is started again
     proxies: bool = False  # hollow proxies of the first service with the same numbers restart too
 
 
 class Crash(_Strict, tag="crash", tag_field="kind"):
-    """Kills backends without notice; discovery lists that only later. They come back cold."""
+    """Kills backends; discovery removes them from the lists only later. They come back cold."""
 
     at_s: float
     count: int
     for_s: float
-    notice_s: float = 2.0  # until discovery lists the backends as gone
+    notice_s: float = 2.0  # from the crash until discovery removes the backends
 
 
 class DiscoveryOutage(_Strict, tag="discovery_outage", tag_field="kind"):
-    """Takes discovery down. A change made meanwhile has to reach each proxy when it is back."""
+    """Takes discovery down. A change that is made just before it is back has to reach each proxy then."""
 
     at_s: float
     for_s: float
 
 
 class ZoneLoss(_Strict, tag="zone_loss", tag_field="kind"):
-    """Cuts off a zone: its backends become silent and its proxies are killed.
+    """Cuts a zone off from the network: its backends become silent, and its proxies are killed.
 
-    They come back as new processes, the backends cold.
+    At the end, backends and proxies are started as new processes, the backends cold.
     """
 
     at_s: float
     for_s: float
     zone: str
-    notice_s: float = 2.0  # until discovery lists the backends as gone
+    notice_s: float = 2.0  # from the cut until discovery removes the backends
 
 
 class RegionCut(_Strict, tag="region_cut", tag_field="kind"):
@@ -136,6 +137,7 @@
 
 Fault = Change | Restarts | Crash | DiscoveryOutage | ZoneLoss | RegionCut
 
+# Request classes and settings of the proxies, in the form of a proxy's configuration.
 DEFAULT_CLASSES: list[dict[str, Any]] = [
     {"name": "read", "value": 1.0, "objective": 0.3, "deadline": 1.0, "effect": "repeatable",
      "late_worth": 0.3, "group": "all", "stream": False},
@@ -165,7 +167,7 @@
     name: str
     seed: int
     duration_s: float  # of the measurement, which starts when the fleet has settled
-    settle_s: float = 3.0  # after all proxies are ready; calls are made, but not counted
+    settle_s: float = 3.0  # from the first call to the measurement; calls are not counted in this time
     discovery: DiscoverySizes = msgspec.field(default_factory=DiscoverySizes)
     backends: BackendSizes = msgspec.field(default_factory=BackendSizes)
     proxies: ProxySizes = msgspec.field(default_factory=ProxySizes)
@@ -174,7 +176,7 @@
     troubles: list[Fault] = []
 
     def raw_settings(self) -> dict[str, Any]:
-        """The settings of all proxies, in the form of a proxy's configuration. Raises ExperimentError."""
+        """The settings that all proxies share, in the form of their configuration. Raises ExperimentError."""
         return _merge_settings(DEFAULT_SETTINGS, self.settings, "settings")
 
     def parsed_settings(self) -> Settings:
--- a/granitepoint/fleet/fleet.py
+++ b/granitepoint/fleet/fleet.py
@@ -1,4 +1,8 @@
-"""The processes of a fleet: starts them in order, sends them commands, and ends them."""
+"""The processes of a fleet: starts them in order, sends them commands, and ends them.
+
+Each worker process has a role, and simulates one or more members of the fleet: backends, proxies, endpoints
+of discovery, or callers.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 MAX_MEMORY_SHARE = 0.5  # of the machine's memory, for all processes together
 MAX_PROCESSES = 300
-START_TIMEOUT = 90.0  # s until a role has started
+START_TIMEOUT = 90.0  # s from the assignment of a role until the process reports that it has started
 COMMAND_TIMEOUT = 60.0  # s for the reply to a command
 EXIT_TIMEOUT = 10.0  # s for a process to exit
 
@@ -31,7 +35,7 @@
 
 
 class Worker:
-    """The parent's handle of one worker process, which carries out one command at a time."""
+    """The parent's handle of one worker process. Commands to the process are carried out one at a time."""
 
     def __init__(self, role: str, name: str, member_count: int, process: asyncio.subprocess.Process) -> None:
         self.role, self.name, self.member_count, self.process = role, name, member_count, process
@@ -57,7 +61,7 @@
                     await self.process.stdin.drain()
                     while reply_line := await self.process.stdout.readline():
                         reply: Reply = msgspec.json.decode(reply_line, type=Reply)
-                        if reply.number == reply_number:  # earlier replies are to commands that timed out
+                        if reply.number == reply_number:  # others are late replies to commands that timed out
                             break
             except (ConnectionError, TimeoutError) as error:
                 raise FleetError(f"{self.name}: {type(error).__name__}") from None
@@ -102,19 +106,20 @@
 
 
 class Fleet:
-    """All processes of one experiment. `async with` ends them in every case."""
+    """All processes of one experiment; the end of `async with` ends them, also after an error."""
 
     def __init__(self, experiment: Experiment, folder: Path) -> None:
         self.experiment, self.folder = experiment, folder
         self.plan: Plan = make_plan(experiment)
         self.workers: list[Worker] = []
         self.unassigned: list[Worker] = []  # started, without a role
-        self.discovery: Worker | None = None
-        self.callers: list[Worker] = []
+        self.discovery_worker: Worker | None = None
+        self.caller_workers: list[Worker] = []
         self.real_proxy_worker: Worker | None = None
-        self.pids: dict[str, int] = {}  # real proxy: process id
+        self.pids: dict[str, int] = {}  # of real proxies, by name
         self.worker_by_member: dict[str, Worker] = {}  # the process that holds each backend or proxy
-        self.addresses: dict[str, str] = {}  # proxy: address
+        self.addresses: dict[str, str] = {}  # of proxies, by name
+        # The plans of backends and proxies, by name.
         self.backends = {plan.name: plan for plan in self.plan.backends}
         self.proxies = {plan.name: plan for plan in self.plan.proxies}
 
@@ -137,7 +142,7 @@
         return worker_process, await worker_process.assign(spec)
 
     async def _start_workers(self) -> None:
-        """Starts all processes at once, because each spends its first second on imports."""
+        """Starts all worker processes at once, because each spends its first second on imports."""
         experiment = self.experiment
         hollow_count = sum(not plan.real for plan in self.plan.proxies)
         worker_count = 1 + experiment.callers.processes + (experiment.proxies.real > 0)
@@ -163,7 +168,7 @@
         await self._start_callers()
 
     async def _start_backends(self) -> dict[str, list[str]]:
-        """Starts the backends; returns the addresses of each, one for the callers of each region."""
+        """Starts the backends; returns the addresses of each, one for the proxies of each region."""
         experiment = self.experiment
         backend_addresses: dict[str, list[str]] = {}
         chunks = _chunks(self.plan.backends, experiment.backends.per_process)
@@ -183,13 +188,13 @@
     ) -> tuple[dict[str, str], dict[str, Any]]:
         """Starts discovery.
 
-        Returns the discovery address of each proxy, and the first lists by "service region".
+        Returns the discovery address of each proxy, and the first server lists by "SERVICE REGION" (indices).
         """
         experiment = self.experiment
         lists: list[list[ListedBackend]] = [[] for _ in range(experiment.backends.services)]
         for plan in self.plan.backends:
-            entry = ListedBackend(plan.name, "", plan.zone, "m1", plan.cell, "Ready", 1.0, 0)
-            lists[plan.service].append(entry)
+            listed_backend = ListedBackend(plan.name, "", plan.zone, "m1", plan.cell, "Ready", 1.0, 0)
+            lists[plan.service].append(listed_backend)
         endpoint_plans = [
             worker.DiscoveryEndpointPlan(
                 plan.name, plan.service, plan.zone, plan.region, loopback_address(DISCOVERY_BLOCK, number)
@@ -197,7 +202,7 @@
             for number, plan in enumerate(self.plan.proxies)
         ]
         spec = worker.DiscoverySpec(experiment, lists, backend_addresses, endpoint_plans)
-        self.discovery, reply = await self._assign("discovery", "discovery", len(endpoint_plans), spec)
+        self.discovery_worker, reply = await self._assign("discovery", "discovery", len(endpoint_plans), spec)
         return reply["desks"], reply["known"]
 
     async def _start_proxies(self, discovery_addresses: dict[str, str], known_lists: dict[str, Any]) -> None:
@@ -241,19 +246,19 @@
         )
 
     async def _start_callers(self) -> None:
-        """Starts the callers, which call the proxies of the first tier."""
+        """Starts the callers, which call the proxies of the first service."""
         experiment = self.experiment
-        first_tier_zones = {plan.name: plan.zone for plan in self.plan.proxies if not plan.of_backend}
-        addresses = {name: self.addresses[name] for name in first_tier_zones}
+        zone_by_proxy = {plan.name: plan.zone for plan in self.plan.proxies if not plan.of_backend}
+        addresses = {name: self.addresses[name] for name in zone_by_proxy}
         assignments = []
         for number in range(experiment.callers.processes):
             spec = worker.CallersSpec(
-                experiment, derive_seed(experiment.seed, "callers", number), addresses, first_tier_zones
+                experiment, derive_seed(experiment.seed, "callers", number), addresses, zone_by_proxy
             )
             assignments.append(self._assign("callers", f"callers-{number}", 1, spec))
-        self.callers = [worker_process for worker_process, _ in await asyncio.gather(*assignments)]
+        self.caller_workers = [worker_process for worker_process, _ in await asyncio.gather(*assignments)]
 
-    # commands
+    # Commands
     async def send_to_holders(
         self, command_name: str, names: Iterable[str], **args: Any
     ) -> list[dict[str, Any]]:
@@ -273,8 +278,8 @@
         self, command_name: str, names: Iterable[str] = (), **args: Any
     ) -> dict[str, Any]:
         """Sends a command to discovery; returns the reply."""
-        assert self.discovery is not None
-        return await self.discovery.execute(command_name, names, args)
+        assert self.discovery_worker is not None
+        return await self.discovery_worker.execute(command_name, names, args)
 
     async def send_to_role(
         self, role: str, command_name: str, timeout: float = COMMAND_TIMEOUT, **args: Any
@@ -285,18 +290,26 @@
             *(worker_process.execute(command_name, (), args, timeout) for worker_process in of_role)
         )
 
-    # measurements
+    # Measurements
     def processes(self) -> list[tuple[str, str, int, int]]:
         """Role, name, process id and number of members of each process.
 
         Real proxies are listed themselves, and not the worker process that started them.
         """
-        workers = [(entry.role, entry.name, entry.process.pid, entry.member_count) for entry in self.workers]
+        workers = [
+            (
+                worker_process.role,
+                worker_process.name,
+                worker_process.process.pid,
+                worker_process.member_count,
+            )
+            for worker_process in self.workers
+        ]
         real_proxies = [("proxy", name, pid, 1) for name, pid in self.pids.items()]
         return [entry for entry in workers if entry[0] != "programs"] + real_proxies
 
     def usage(self) -> dict[int, Usage]:
-        """The CPU time and memory of each running process, by process id."""
+        """The resource usage so far of each running process, by process id."""
         usage_by_pid = {}
         for _, _, pid, _ in self.processes():
             with contextlib.suppress(psutil.Error):
--- a/granitepoint/fleet/measure.py
+++ b/granitepoint/fleet/measure.py
@@ -13,7 +13,7 @@
 from hdrh.histogram import HdrHistogram
 
 MAX_DURATION_US = 120_000_000  # longer durations are recorded as this one
-SIGNIFICANT_DIGITS = 3
+SIGNIFICANT_DIGITS = 3  # with which durations are recorded
 PERCENTILES = (50.0, 99.0, 99.9)
 
 
@@ -31,11 +31,11 @@
         self._histogram.record_value(min(MAX_DURATION_US, max(0, round(seconds * 1e6))))
 
     def merge(self, other: Histogram) -> None:
-        """Adds all durations of another histogram."""
+        """Adds all durations of another histogram to this one."""
         self._histogram.add(other._histogram)
 
     def encode(self) -> str:
-        """Returns the histogram as text, for another process."""
+        """Returns the histogram as text; `Histogram(text)` restores it, also in another process."""
         encoded: bytes = self._histogram.encode()
         return encoded.decode()
 
@@ -64,9 +64,9 @@
     """Resource usage of a process at one moment."""
 
     at: float  # monotonic, s
-    cpu_s: float  # user and system time so far
+    cpu_s: float  # user and system time since its start
     memory_bytes: int  # unique set size (USS): memory that no other process shares
-    context_switches: int  # voluntary ones so far
+    context_switches: int  # voluntary ones since its start
 
     @staticmethod
     def of(pid: int) -> Usage:
@@ -100,7 +100,10 @@
 
 
 def source_commit() -> str:
-    """Returns the git commit of the running sources, or "unknown". "+" marks changes of tracked files."""
+    """Returns the git commit of the running sources, or "unknown".
+
+    A "+" is appended if tracked files differ from the commit.
+    """
     folder = Path(__file__).parent
     try:
         commit = _git("rev-parse", "--short=10", "HEAD", folder=folder)
--- a/granitepoint/fleet/plan.py
+++ b/granitepoint/fleet/plan.py
@@ -8,38 +8,39 @@
 
 from granitepoint.fleet.experiment import Experiment
 
+# Blocks of loopback addresses, each given by the second octet of its first address.
 BACKEND_BLOCK, PROXY_BLOCK, REAL_PROXY_BLOCK, DISCOVERY_BLOCK = (
     20,
     40,
     60,
     70,
-)  # second octet of the addresses
-ADDRESSES_PER_BLOCK = 250 * 250
+)
+ADDRESSES_PER_BLOCK = 250 * 250  # with the same second octet; a larger block goes on with the next octet
 
 
 class BackendPlan(msgspec.Struct):
-    """Name, place and addresses of one backend."""
+    """Name, service, location and addresses of one backend."""
 
     name: str
-    service: int
+    service: int  # index of the service that it belongs to
     zone: str
-    cell: int  # index of a group of three backends of a zone
-    hosts: list[str]  # an address for the callers of each region
+    cell: int  # index of its group: every three backends of a service in a zone are one
+    hosts: list[str]  # an address for the proxies of each region
 
 
 class ProxyPlan(msgspec.Struct):
-    """Name, place, address and seed of one proxy."""
+    """Name, service, location, address and seed of one proxy."""
 
     name: str
     service: int  # index of the service that it sends to
     zone: str
-    region: int
+    region: int  # index of the region
     host: str
     me: int  # index among the proxies of its service
     balancers: int  # number of proxies of its service
     seed: int
     real: bool = False
-    of_backend: str = ""  # the backend that calls through it; empty: a proxy of the first service
+    of_backend: str = ""  # the backend whose calls it carries; empty: it carries those of the callers
 
 
 class Plan(msgspec.Struct):
@@ -50,19 +51,23 @@
 
 
 def loopback_address(block: int, number: int) -> str:
-    """A distinct loopback address for each number of a block."""
+    """The loopback address with this number in a block; each number has another one."""
     number, last_octet = divmod(number, 250)
     block_offset, third_octet = divmod(number, 250)
     return f"127.{block + block_offset}.{third_octet}.{last_octet + 1}"
 
 
 def derive_seed(seed: int, *names: object) -> int:
-    """A seed for one part of an experiment, the same in every run."""
+    """A seed for the named part of an experiment; it depends on `seed` and the names only."""
     return zlib.crc32(" ".join(map(str, (seed, *names))).encode())
 
 
 def make_plan(experiment: Experiment) -> Plan:
-    """Distributes backends and proxies over the zones; each backend of a chain gets a proxy of its own."""
+    """Distributes backends and proxies over the zones.
+
+    Each backend of a chain of services, except for those of the last, gets a proxy of its own to the next
+    service.
+    """
     sizes, zones = experiment.backends, experiment.backends.zones
     backends = []
     region_count = len(experiment.regions)
@@ -74,12 +79,12 @@
         ]
         backends.append(BackendPlan(f"b{service}-{index}", service, zone, index // len(zones) // 3, hosts))
     proxies: list[ProxyPlan] = []
-    first_tier_count = experiment.proxies.real + experiment.proxies.hollow
-    for number in range(first_tier_count):
+    caller_proxy_count = experiment.proxies.real + experiment.proxies.hollow
+    for number in range(caller_proxy_count):
         zone = zones[number % len(zones)]
         real = number < experiment.proxies.real
         proxies.append(
-            _proxy(experiment, f"n0-{number}", 0, zone, number, first_tier_count, len(proxies), real=real)
+            _proxy(experiment, f"n0-{number}", 0, zone, number, caller_proxy_count, len(proxies), real=real)
         )
     for backend in backends:
         if backend.service + 1 < sizes.services:
--- a/granitepoint/fleet/proxies.py
+++ b/granitepoint/fleet/proxies.py
@@ -1,7 +1,7 @@
 """Hollow proxies: many proxies in one process, with the real driver, balancer, server and discovery client.
 
 No part of the proxy is replaced by a simulation. Subclasses only record when a call passes from one part to
-the next, and can end a proxy as a killed process ends.
+the next, and can end a proxy as if its process was killed.
 """
 
 from __future__ import annotations
@@ -26,15 +26,17 @@
 #   read:     from the first byte read until the request is accepted
 #   batch:    until it is delivered to the balancer
 #   pick:     until it is sent to a server, including the time in the balancer's queue
-#   connect:  until a connection takes it, including the pause after the connection's previous answer
+#   connect:  until a connection starts to send it, including the time to open a connection or the pause after
+#             the previous answer on it
 #   prove:    until its last byte is written (last-byte check)
-#   answer:   from the complete answer until it is written to the caller
+#   answer:   from the complete answer of the backend until it is written to the caller
+# The time of the backend itself, between prove and answer, is not a stage.
 STAGES = ("read", "batch", "pick", "connect", "prove", "answer")
 
 
 @dataclass(slots=True)
 class CallTimes:
-    """Monotonic times of one open call; 0: not yet."""
+    """Monotonic times at which one open call passed from stage to stage; 0: not yet."""
 
     first_byte_at: float
     accepted_at: float
@@ -49,7 +51,9 @@
 
     def __init__(self) -> None:
         self.histograms = {name: Histogram() for name in (*STAGES, "whole")}
-        self.reuse_delays = 0  # calls that waited until REUSE_DELAY after their connection's previous answer
+        # Calls whose connect stage took about REUSE_DELAY: they probably waited for the end of the pause
+        # after the previous answer on their connection.
+        self.reuse_delays = 0
 
     def record(self, times: CallTimes, answered_at: float, written_at: float) -> None:
         """Adds a call whose answer was complete and written at these monotonic times."""
@@ -81,7 +85,7 @@
 
 
 class HollowServer(Server):
-    """A server that can be ended as a killed process ends."""
+    """A server that can be ended as if its process was killed."""
 
     killed = False
 
@@ -191,7 +195,7 @@
         super()._send(action)
         exchange = self.in_flight.get(action.call)
         if exchange is None or self.calls[action.call].attempts > 1:
-            self.call_times.pop(action.call, None)  # only calls with a single attempt are recorded
+            self.call_times.pop(action.call, None)  # calls with several attempts are not recorded
         elif exchange.connection is not None:
             self._on_connected(exchange, times)
         else:
@@ -233,7 +237,8 @@
     def _remove_call(self, call: OpenCall) -> None:
         super()._remove_call(call)
         if call.exchange is None and call.number in self.call_times and not call.attempts:
-            del self.call_times[call.number]  # refused, or its caller disconnected, before it was sent
+            # The call has ended before an attempt was sent: refused, or the caller has disconnected.
+            del self.call_times[call.number]
 
 
 @dataclass(slots=True)
@@ -241,13 +246,14 @@
     """One hollow proxy, which can be killed and started again."""
 
     config: Config
-    timed: bool = False  # records the stages of calls
+    timed: bool = False  # whether it records the stages of calls
     driver: HollowDriver | None = None  # None: not running
     server: HollowServer | None = None
     stages: StageTimes | None = None
-    applied_at: dict[int, float] = field(default_factory=dict)  # see HollowDriver; of earlier runs
+    # The `applied_at` of all drivers that were killed: for each version, the earliest driver that applied it.
+    applied_at: dict[int, float] = field(default_factory=dict)
     start_times: list[float] = field(default_factory=list)  # monotonic
-    totals: dict[str, int] = field(default_factory=dict)  # counts of earlier runs
+    totals: dict[str, int] = field(default_factory=dict)  # counts of the drivers that were killed
 
     async def start(self) -> str:
         """Starts the proxy and returns its address, which is the same at each start."""
@@ -265,7 +271,7 @@
         return f"{host}:{port}"
 
     def kill(self) -> None:
-        """Ends the proxy as a killed process ends; its counts are kept."""
+        """Ends the proxy as if its process was killed; its counts are kept."""
         if self.driver is not None and self.server is not None:
             self._add_counts(self.driver)
             self.server.kill()
@@ -280,7 +286,7 @@
             self.totals[name] = self.totals.get(name, 0) + getattr(driver, name)
 
     def statistics(self) -> dict[str, Any]:
-        """Returns counts and times over all runs so far, and the state of the present one."""
+        """Returns counts and times since the first start, and the state of the running driver."""
         totals = dict(self.totals)
         applied_at = dict(self.applied_at)
         driver = self.driver
--- a/granitepoint/fleet/results.py
+++ b/granitepoint/fleet/results.py
@@ -10,7 +10,7 @@
 
 
 class Record(msgspec.Struct, tag_field="type", kw_only=True):
-    """Base of all records; `type` names the kind in the file."""
+    """Base of all records; in the file, the key `type` names the type of the record."""
 
     pass
 
@@ -21,52 +21,52 @@
     experiment: dict[str, Any]
     machine: dict[str, Any]
     commit: str
-    began: str  # UTC
+    began: str  # time of the start, UTC, ISO 8601
 
 
 class Process(Record, tag="process"):
-    """The CPU time and memory of one process over the measured time."""
+    """The CPU time and memory of one process during the measurement."""
 
     role: str
     name: str
     pid: int
     holds: int  # number of proxies, backends or discovery addresses in it
-    span_s: float
-    cpu_s: float
+    span_s: float  # measured time
+    cpu_s: float  # CPU time used in it
     memory_begin: int  # bytes, without shared pages
     memory_end: int
 
     @property
     def cores(self) -> float:
-        """CPU time used for each second."""
+        """CPU time used in each second, that is, the mean number of cores in use."""
         return self.cpu_s / self.span_s if self.span_s > 0 else 0.0
 
 
 class Calls(Record, tag="calls"):
     """The outcomes and latencies of the calls of all callers."""
 
-    planned: int
+    planned: int  # calls that have ended; in a complete run, all that were planned
     tries: int  # with retries of the callers
     outcomes: dict[str, int]
-    by_zone: dict[str, int]
-    worst_second: dict[str, float]  # the second with the smallest share served in time, and that share
-    latency: dict[str, dict[str, float]]  # by class, from the planned send
-    added: dict[str, float]  # latency beyond the backend's own time, of first tries
-    late_sends: dict[str, float]  # delay of the callers themselves beyond the planned send
+    by_zone: dict[str, int]  # calls by "ZONE OUTCOME"
+    worst_second: dict[str, float]  # second with the smallest share of calls served in time, and that share
+    latency: dict[str, dict[str, float]]  # of served calls, by class, from the planned send
+    added: dict[str, float]  # latency less the backend's own time, of calls served at the first try
+    late_sends: dict[str, float]  # from the planned to the actual first try; caused by the callers
     front_looks: int  # health checks by the front
-    by_second: list[dict[str, int]]
+    by_second: list[dict[str, int]]  # calls by outcome, for each second of the planned send
 
 
 class Stages(Record, tag="stages"):
-    """How long calls spent in each stage of the hollow proxies."""
+    """How long calls spent in each stage of the hollow proxies (see proxies.STAGES)."""
 
     proxies: int
     histograms: dict[str, dict[str, float]]
-    settling: int  # calls delayed because their connection had only just answered another
+    settling: int  # calls probably delayed by the pause after the previous answer on their connection
 
 
 class Control(Record, tag="control"):
-    """The load of discovery over the measured time, all proxies together."""
+    """The load on discovery from all proxies during the measurement."""
 
     desks: int  # addresses, one for each proxy
     span_s: float
@@ -80,13 +80,13 @@
     renewed: int  # calls that continued a watch
     bytes_in: int
     bytes_out: int
-    busy_s: float  # simulated processing time
-    most_bytes_of_one: int
-    calls_by_100ms: dict[str, int]
+    busy_s: float  # simulated processing time of the calls
+    most_bytes_of_one: int  # largest sum of bytes in and out of one proxy
+    calls_by_100ms: dict[str, int]  # by number of the 100 ms slot since the start of the measurement
 
 
 class Backends(Record, tag="backends"):
-    """The counts of the hollow backends of one service."""
+    """The counts of the simulated backends of one service during the measurement."""
 
     service: int
     holds: int
@@ -94,14 +94,14 @@
 
 
 class Proxies(Record, tag="proxies"):
-    """The counts of the hollow proxies over the measured time."""
+    """The counts of the hollow proxies during the measurement."""
 
     holds: int
     totals: dict[str, int]
 
 
 class Event(Record, tag="event"):
-    """An injected fault or an observed effect. Times are in seconds since the measured time began."""
+    """An injected fault or an observed effect; `at_s` counts from the start of the measurement."""
 
     at_s: float
     what: str
@@ -109,9 +109,9 @@
 
 
 class End(Record, tag="end"):
-    """The last record."""
+    """The last record: whether the run was complete."""
 
-    complete: bool  # False: the run was stopped, and the records have what was measured until then
+    complete: bool  # False: the run was stopped early, and the records cover the time until then
     why: str = ""  # reason of an incomplete run
 
 
@@ -120,14 +120,14 @@
 
 
 class ResultsError(Exception):
-    """The file or the records are not as expected; the message names the line or the kind."""
+    """A malformed file, or not exactly one record of a type; the message names the line or the type."""
 
 
 class Writer:
     """Writes each record to the file at once, so that an aborted run keeps what was measured."""
 
     def __init__(self, path: Path) -> None:
-        """Creates the file, and its folder if necessary."""
+        """Creates the file, or empties an existing one; creates its folder if necessary."""
         path.parent.mkdir(parents=True, exist_ok=True)
         self.path = path
         self._file: IO[bytes] = path.open("wb")
@@ -155,7 +155,7 @@
 
 
 def single_record(records: Sequence[Record], record_type: type[RecordType]) -> RecordType:
-    """The only record of this type. Raises ResultsError if there is none or more than one."""
+    """Returns the record of this type. Raises ResultsError if there is none or more than one."""
     found = [record for record in records if isinstance(record, record_type)]
     if len(found) != 1:
         raise ResultsError(f"{len(found)} records of kind {record_type.__name__.lower()}, not one")
--- a/granitepoint/fleet/run.py
+++ b/granitepoint/fleet/run.py
@@ -1,4 +1,7 @@
-"""One run of an experiment: starts the fleet, lets it settle, measures it under faults, collects results."""
+"""One run of an experiment: starts the fleet and its calls, injects the faults, collects the results.
+
+The measurement starts some time after the calls, when the fleet has settled.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +25,14 @@
 from granitepoint.fleet.troubles import FaultInjector, TrackedVersion, time_until_applied
 
 START_DELAY = 0.2  # s between the command to the callers and the first call
-FINAL_CALLS_MARGIN = 15.0  # s added to the longest deadline, in which the callers' last calls end
-PROPAGATION_LIMIT = 4.0  # s within which a change has to be in force at every proxy
+FINAL_CALLS_MARGIN = 15.0  # s beyond the longest deadline; by then the callers' last calls must have ended
+PROPAGATION_LIMIT = 4.0  # s within which every proxy has to apply a change of its server list
 
-ProgressCallback = Callable[[str, float], None]  # the current phase, and the fraction that is done
+ProgressCallback = Callable[[str, float], None]  # what is being done, and the fraction that is done
 
 
 def run(
-    experiment: Experiment, path: Path, report_progress: ProgressCallback = lambda text, share: None
+    experiment: Experiment, path: Path, report_progress: ProgressCallback = lambda text, fraction_done: None
 ) -> bool:
     """Runs the experiment and writes its records to `path`; returns whether the run was complete.
 
@@ -56,7 +59,7 @@
         self.collection_started = False
 
     def record_event(self, what: str, figures: dict[str, Any], at: float | None = None) -> None:
-        """Writes an event; `at` is its monotonic time, now by default."""
+        """Writes an Event record; `at` is the monotonic time of the event, by default now."""
         elapsed = (time.monotonic() if at is None else at) - self.measured_from
         self.writer.write(results.Event(at_s=round(elapsed, 3), what=what, figures=figures))
 
@@ -77,7 +80,7 @@
                 try:
                     await asyncio.wait((measurement, memory_watch), return_when=asyncio.FIRST_COMPLETED)
                     if not measurement.done():
-                        await memory_watch  # raises FleetError, which names the excess
+                        await memory_watch  # raises FleetError, which names the memory in use
                     await measurement
                 except asyncio.CancelledError:
                     current = asyncio.current_task()
@@ -98,7 +101,7 @@
         return not stop_reason
 
     async def _measure(self, fleet: Fleet) -> None:
-        """Starts the fleet, waits for it to settle, injects the faults and collects the results."""
+        """Starts the fleet and the calls, lets the fleet settle, injects the faults, collects the results."""
         experiment = self.experiment
         self.report_progress("starting", 0.0)
         await fleet.start()
@@ -142,7 +145,7 @@
         self.writer.write(results.Control(span_s=elapsed, **control))
         proxies = await fleet.send_to_role("proxies", "figures")
         self._write_proxies(fleet, proxies)
-        await self._write_programs(fleet)
+        await self._write_exited_proxies(fleet)
         self._write_backends(fleet, await fleet.send_to_role("backends", "figures"))
         applied_at = {name: times for reply in proxies for name, times in reply["in_force"].items()}
         start_times = {name: times for reply in proxies for name, times in reply["starts"].items()}
@@ -179,23 +182,29 @@
         merged: dict[str, Histogram] = {}
         for reply in replies:
             totals.update(reply["totals"])
-            for name, packed in reply["stages"].items():
-                merged.setdefault(name, Histogram()).merge(Histogram(packed))
+            for name, encoded in reply["stages"].items():
+                merged.setdefault(name, Histogram()).merge(Histogram(encoded))
         proxy_count = sum(len(reply["in_force"]) for reply in replies)
         self.writer.write(results.Proxies(holds=proxy_count, totals=dict(totals)))
         if self.experiment.proxies.timed:
             histograms = {name: histogram.summary() for name, histogram in merged.items()}
-            settling = sum(reply["settling"] for reply in replies)
-            self.writer.write(results.Stages(proxies=proxy_count, histograms=histograms, settling=settling))
+            reuse_delays = sum(reply["settling"] for reply in replies)
+            self.writer.write(
+                results.Stages(proxies=proxy_count, histograms=histograms, settling=reuse_delays)
+            )
 
-    async def _write_programs(self, fleet: Fleet) -> None:
-        """Writes an event for real proxies that have exited unexpectedly."""
+    async def _write_exited_proxies(self, fleet: Fleet) -> None:
+        """Writes an event if real proxies are not running.
+
+        After a complete run these have exited by themselves, because a fault starts again what it has
+        killed; after an interrupted one, a fault may have killed them.
+        """
         for reply in await fleet.send_to_role("programs", "figures"):
             if reply["ended"]:
                 self.record_event("real proxies have ended by themselves", {"names": reply["ended"]})
 
     def _write_backends(self, fleet: Fleet, replies: list[Any]) -> None:
-        """Writes the counts of the backends of each service."""
+        """Writes the summed counts of the backends of each service."""
         by_service: dict[int, Counter[str]] = {}
         for reply in replies:
             for service, counts in reply.items():
@@ -211,11 +220,11 @@
         applied_at: dict[str, Any],
         start_times: dict[str, Any],
     ) -> None:
-        """Writes how long changes of the server lists took to reach the proxies, for each kind of change.
+        """Writes how long the proxies took to apply changes of the server lists, for each kind of change.
 
-        Measured are all versions of that kind and, for each version, all proxies of the zones that it was to
-        reach. `notified_at` and `applied_at` map each proxy to its versions and their monotonic times. Hollow
-        proxies report when a version came into force; for real ones the time is that of discovery's answer.
+        For each tracked version of that kind, the time is measured at all proxies of its service in its
+        zones. `notified_at` and `applied_at` map each proxy to its versions and their monotonic times. Hollow
+        proxies report when they applied a version; for real ones, the time of discovery's answer is taken.
         """
         notified_by_proxy = {
             name: {int(version): at for version, at in times.items()} for name, times in notified_at.items()
@@ -265,21 +274,21 @@
             self.record_event(f"in force: {label}", figures, first_counted_from)
 
     def _write_calls(self, replies: list[Any]) -> None:
-        """Merges and writes the results of all callers."""
+        """Merges and writes the results of all processes of callers."""
         outcomes: Counter[str] = Counter()
         by_zone: Counter[str] = Counter()
         by_second: dict[int, Counter[str]] = {}
         latency: dict[str, Histogram] = {}
-        added_latency, late_sends = Histogram(), Histogram()
+        added_latency, send_delay = Histogram(), Histogram()
         for reply in replies:
             by_zone.update(reply["by_zone"])
             for second, counts in reply["by_second"].items():
                 by_second.setdefault(int(second), Counter()).update(counts)
                 outcomes.update(counts)
-            for name, packed in reply["latency"].items():
-                latency.setdefault(name, Histogram()).merge(Histogram(packed))
+            for name, encoded in reply["latency"].items():
+                latency.setdefault(name, Histogram()).merge(Histogram(encoded))
             added_latency.merge(Histogram(reply["added"]))
-            late_sends.merge(Histogram(reply["late_sends"]))
+            send_delay.merge(Histogram(reply["late_sends"]))
         shares = {second: counts["served"] / counts.total() for second, counts in by_second.items()}
         worst_second = min(shares, key=lambda second: shares[second], default=0)
         last_second = max(by_second, default=-1)
@@ -295,7 +304,7 @@
                 },
                 latency={name: histogram.summary() for name, histogram in latency.items()},
                 added=added_latency.summary(),
-                late_sends=late_sends.summary(),
+                late_sends=send_delay.summary(),
                 front_looks=sum(reply["looks"] for reply in replies),
                 by_second=[dict(by_second.get(second, {})) for second in range(last_second + 1)],
             )
--- a/granitepoint/fleet/slopes.py
+++ b/granitepoint/fleet/slopes.py
@@ -31,12 +31,12 @@
 
 
 class Slope(msgspec.Struct, kw_only=True):
-    """The line of one figure of one series: figure = base + slope x."""
+    """The line fitted to one figure of one series: figure = base + slope * x."""
 
     series: str
     figure: str
     unit: str
-    per: str  # unit of x
+    per: str  # what x counts
     slope: float
     base: float
     residual: float  # root mean square, in units of the figure
@@ -48,18 +48,18 @@
 class Series(msgspec.Struct, kw_only=True):
     """Experiments of growing size, and the figures that are read from the results of each."""
 
-    per: str  # unit of x
+    per: str  # what x counts
     sizes: list[tuple[float, Experiment]]  # x and the experiment of this size
-    figures: dict[str, tuple[str, Callable[[Records], float]]]  # name: unit, function that reads it
+    figures: dict[str, tuple[str, Callable[[Records], float]]]  # name: unit, function that computes it
 
 
-# Figures of a run. Those with parameters return the function that reads the figure from the records.
+# Functions that compute a figure from the records of a run, and functions that return such a function.
 def _processes_of_role(records: Records, role: str) -> list[results.Process]:
     return [record for record in records if isinstance(record, results.Process) and record.role == role]
 
 
 def cores_per_member(role: str) -> Callable[[Records], float]:
-    """Reads the cores used for each proxy, or other member, that processes of the role hold."""
+    """The cores used by the processes of the role, for each member (such as a proxy) that they simulate."""
 
     def read(records: Records) -> float:
         processes = _processes_of_role(records, role)
@@ -71,12 +71,12 @@
 
 
 def total_cores(role: str) -> Callable[[Records], float]:
-    """Reads the cores used by all processes of the role."""
+    """The cores used by all processes of the role together."""
     return lambda records: sum(process.cores for process in _processes_of_role(records, role))
 
 
 def memory_per_process(role: str) -> Callable[[Records], float]:
-    """Reads the mean memory of a process of the role, in bytes."""
+    """The mean memory of a process of the role, in bytes."""
 
     def read(records: Records) -> float:
         processes = _processes_of_role(records, role)
@@ -86,22 +86,22 @@
 
 
 def from_control(read: Callable[[results.Control], float]) -> Callable[[Records], float]:
-    """Reads a figure from the record of discovery."""
+    """The result of `read` for the record of the load on discovery."""
     return lambda records: read(results.single_record(records, results.Control))
 
 
 def from_calls(read: Callable[[results.Calls], float]) -> Callable[[Records], float]:
-    """Reads a figure from the record of the calls."""
+    """The result of `read` for the record of the calls."""
     return lambda records: read(results.single_record(records, results.Calls))
 
 
 def stage_latency(name: str, percentile: str) -> Callable[[Records], float]:
-    """Reads a percentile of a stage in the hollow proxies, in ms; `percentile` is its key, as "p99_ms"."""
+    """A percentile of the time in a stage of the hollow proxies, in ms; it is given by its key, "p99_ms"."""
     return lambda records: results.single_record(records, results.Stages).histograms[name][percentile]
 
 
 def max_propagation_time(records: Records) -> float:
-    """Seconds until a change was in force at the last proxy, for the slowest change."""
+    """Seconds until the last proxy had applied a change, for the slowest change of the run."""
     propagation_times = [
         float(record.figures.get("last_worst_s", 0.0))
         for record in records
@@ -110,8 +110,8 @@
     return max(propagation_times, default=0.0)
 
 
-def started_per_call(at_first_service: bool = False) -> Callable[[Records], float]:
-    """Reads the requests started at the last service of a chain, or at the first, for each planned call."""
+def accepted_per_call(at_first_service: bool = False) -> Callable[[Records], float]:
+    """The requests accepted by the last service of a chain, or by the first, for each planned call."""
 
     def read(records: Records) -> float:
         backend_records = [record for record in records if isinstance(record, results.Backends)]
@@ -122,12 +122,12 @@
 
 
 def served_share(calls: results.Calls) -> float:
-    """The share of the planned calls that were served, in time or late."""
+    """The share of the calls that were served, within the latency objective of their class or later."""
     return (calls.outcomes.get("served", 0) + calls.outcomes.get("late", 0)) / max(1, calls.planned)
 
 
 def backend_count_per_s(counter: str) -> Callable[[Records], float]:
-    """Reads a count of all backends, for each second."""
+    """A count, summed over all backends, for each second of the measurement."""
 
     def read(records: Records) -> float:
         span = results.single_record(records, results.Control).span_s
@@ -139,6 +139,7 @@
     return read
 
 
+# Rates of each proxy: bytes/s and calls/s.
 DISCOVERY_BYTES_PER_PROXY = from_control(lambda c: (c.bytes_in + c.bytes_out) / c.span_s / c.desks)
 DISCOVERY_CALLS_PER_PROXY = from_control(lambda c: c.calls / c.span_s / c.desks)
 
@@ -186,7 +187,7 @@
 
 
 def _rate_series() -> Series:
-    """One real proxy at a growing rate of calls."""
+    """One real proxy at a growing rate of calls, in calls a second."""
     sizes = [
         (
             float(rate),
@@ -244,7 +245,7 @@
 
 
 def _watchers_series() -> Series:
-    """Discovery with a growing number of proxies, at one change a second."""
+    """Discovery with a growing number of proxies that watch a list, which changes once a second."""
     sizes = [
         (
             float(count),
@@ -271,7 +272,7 @@
 
 
 def _changes_series() -> Series:
-    """A growing rate of changes, each of one entry."""
+    """A growing rate of changes of a server list, each of one entry."""
     sizes = [
         (
             rate,
@@ -347,7 +348,8 @@
 
     One answer in a hundred of each service is an error, to show by how much retries at each depth multiply.
     """
-    # Few proxies to a process: each deducts the lag of its event loop from the budgets of its calls.
+    # Only 14 proxies share a process: a proxy deducts the lag of its event loop, which grows with the number
+    # of proxies in the process, from the budgets of its calls.
     proxies = ProxySizes(real=1, hollow=3, per_process=14)
     callers = CallerSizes(rate_per_s=20.0, mix={"read": 1.0}, retries=2)
     classes = [{**DEFAULT_CLASSES[0], "deadline": deadline_s, "objective": 0.3 * deadline_s}]
@@ -361,8 +363,8 @@
         per="service in the chain",
         sizes=sizes,
         figures={
-            "begun at the first for each call": ("1", started_per_call(at_first_service=True)),
-            "begun at the deepest for each call": ("1", started_per_call()),
+            "begun at the first for each call": ("1", accepted_per_call(at_first_service=True)),
+            "begun at the deepest for each call": ("1", accepted_per_call()),
             "tries for each call": ("1", from_calls(lambda c: c.tries / max(1, c.planned))),
             "served share": ("1", from_calls(served_share)),
             "latency of read, 50": ("ms", from_calls(lambda c: c.latency.get("read", {}).get("p50_ms", 0.0))),
@@ -372,7 +374,10 @@
 
 
 def _probes_series() -> Series:
-    """One real proxy at a growing rate of calls, with probes at the usual and at a low price."""
+    """One real proxy at a growing rate of calls, at the usual and at a low price of a probe.
+
+    The price is the setting `charges.probe`: what a probe costs the proxy in its decisions.
+    """
     sizes = []
     for price in (0.06, 0.001):  # at the low price, servers are probed before a call is sent to one
         for rate in (10, 20, 40, 72):
@@ -392,7 +397,7 @@
 
 
 SERIES: dict[str, Callable[[], Series] | None] = {
-    "state": None,  # measured in this process, without a fleet
+    "state": None,  # bytes of a proxy's state; measured in this process, without a fleet
     "listed": _listed_series,
     "rate": _rate_series,
     "stages": _stages_series,
@@ -407,7 +412,7 @@
 
 
 def run_series(name: str, out: Path, report_progress: ProgressCallback) -> bool:
-    """Runs one series and writes its lines; returns whether it was complete. Raises FleetError."""
+    """Runs one series and writes its fitted lines; returns whether it was complete. Raises FleetError."""
     make_series = SERIES[name]
     out.mkdir(parents=True, exist_ok=True)
     machine_info = describe_machine()
@@ -460,7 +465,7 @@
         rows.append((1.0, rate, probes / process.span_s))
         cores_used.append(process.cores)
     weights, residual = fit_plane(rows, cores_used)
-    points = [(row[2], y) for row, y in zip(rows, cores_used, strict=True)]
+    points = [(row[2], cores) for row, cores in zip(rows, cores_used, strict=True)]
     return [
         Slope(
             series=name,
@@ -479,7 +484,7 @@
 
 
 def read_lines(out: Path) -> list[Slope]:
-    """All lines that were written to this folder, in the order of SERIES."""
+    """Returns all fitted lines that were written to this folder, in the order of SERIES."""
     decoder: msgspec.json.Decoder[Slope] = msgspec.json.Decoder(Slope)
     paths = [out / f"lines-{name}.jsonl" for name in SERIES]
     return [
@@ -488,7 +493,7 @@
 
 
 def print_lines(out: Path, console: Console) -> None:
-    """Prints a table of all lines in this folder."""
+    """Prints a table of all fitted lines that were written to this folder."""
     table = Table("series", "figure", "base", "slope", "unit for each", "residual")
     for line in read_lines(out):
         table.add_row(
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -1,7 +1,7 @@
-"""Memory of one proxy's state: the bytes that listed backends, open calls and remembered ids take.
+"""Memory of one proxy's state: the bytes for listed backends, open calls and remembered ids of ended calls.
 
 They are counted by tracemalloc on the real driver and balancer without sockets; the kernel's socket buffers
-come on top.
+are not included.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from granitepoint.net.driver import Driver
 from granitepoint.net.server import Request
 
-UNUSED_ADDRESS = ("127.0.0.1", 9)
+UNUSED_ADDRESS = ("127.0.0.1", 9)  # the driver never listens or connects
 
 
 class _DiscardingReply:
-    """A reply of a request without a connection: answers are dropped."""
+    """Takes the place of the connection that a request came from; answers are dropped."""
 
     def answer(self, code: int, headers: Any, body: bytes) -> None:
         pass
@@ -66,12 +66,12 @@
 
 
 async def measure_backends(count: int) -> int:
-    """Returns the bytes of a driver with `count` listed backends and no connection to them."""
+    """Returns the bytes allocated for a driver with `count` listed backends and no connection to them."""
     return _measure_bytes(lambda: _make_driver(count))
 
 
 async def measure_open_calls(count: int) -> int:
-    """Returns the bytes of `count` calls that were accepted and are in the balancer's queue."""
+    """Returns the bytes allocated for `count` calls that were accepted and are in the balancer's queue."""
     driver = _make_driver(16)
     driver.balancer.handle(time.monotonic(), driver.events)
     driver.events = []
@@ -97,7 +97,7 @@
 
 
 async def measure_remembered_ids(count: int) -> int:
-    """Returns the bytes of the ids of `count` ended calls."""
+    """Returns the bytes allocated to remember the ids of `count` ended calls."""
     driver = _make_driver(16)
 
     def remember() -> object:
@@ -113,7 +113,7 @@
     "open call": measure_open_calls,
     "remembered id": measure_remembered_ids,
 }
-SIZES = {
+SIZES = {  # numbers of objects at which each measurement is made
     "backend": (110, 220, 440, 880),
     "open call": (50, 100, 200, 400),
     "remembered id": (125, 250, 500, 1000),
--- a/granitepoint/fleet/summary.py
+++ b/granitepoint/fleet/summary.py
@@ -1,4 +1,4 @@
-"""Prints the results of a run in a few lines."""
+"""Prints the results of a run: a table of its processes, and a few lines of figures."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def print_summary(path: Path, console: Console) -> None:
-    """Prints the results in `path`. Raises ResultsError."""
+    """Prints the results in the file `path`. Raises ResultsError."""
     records = results.read(path)
     begin = results.single_record(records, results.Begin)
     end = results.single_record(records, results.End)
@@ -51,7 +51,7 @@
             for name, figures in record.histograms.items():
                 console.print(f"  stage {name}: {_format_figures(figures)}", highlight=False, soft_wrap=True)
         elif isinstance(record, results.Control):
-            proxy_seconds = record.desks * record.span_s
+            proxy_seconds = record.desks * record.span_s  # number of proxies times the measured seconds
             console.print(
                 f"discovery: {record.calls} calls, {record.whole_lists} whole lists, {record.refused} refused"
                 f", {(record.bytes_in + record.bytes_out) / proxy_seconds:.0f} bytes/s for each proxy",
--- a/granitepoint/fleet/troubles.py
+++ b/granitepoint/fleet/troubles.py
@@ -1,7 +1,7 @@
-"""Fault injection: applies the faults of an experiment (its `troubles`) to a running fleet.
+"""Fault injection: injects the faults of an experiment (its `troubles`) into a running fleet.
 
-It also records the list versions that each fault publishes, so that the time until every proxy has applied
-them can be measured.
+It also records the versions of the server lists that each fault creates, so that the time until every proxy
+has applied them can be measured.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 class TrackedVersion:
     """A version of a service's list that the proxies of some zones are expected to apply."""
 
-    label: str  # kind of change, as in the results
+    label: str  # kind of change, as in the "in force" events of the results
     service: int
     version: int
-    counted_from: float  # monotonic; the start of the time until it is applied
-    zones: frozenset[str]
+    counted_from: float  # monotonic time from which the time until it is applied counts
+    zones: frozenset[str]  # of the proxies that are expected to apply it
 
 
 class FaultInjector:
-    """Applies the faults of one experiment at their times."""
+    """Injects the faults of one experiment at their times."""
 
     def __init__(
         self, fleet: Fleet, started_at: float, record_event: Callable[[str, dict[str, Any]], None]
@@ -45,10 +45,10 @@
         self.fleet, self.started_at, self.record_event = fleet, started_at, record_event
         self.tracked_versions: list[TrackedVersion] = []
         self.all_zones = frozenset(fleet.experiment.backends.zones)
-        self.marks = 0
+        self.marks = 0  # not used
 
     async def run(self, faults: Iterable[Fault]) -> None:
-        """Applies all faults, concurrently, and returns when the last of them is over."""
+        """Injects all faults, concurrently, and returns when the last of them is over."""
         handlers: dict[type, Callable[[Any], Coroutine[Any, Any, None]]] = {
             Change: self.change,
             Restarts: self.restarts,
@@ -77,10 +77,10 @@
         zones: frozenset[str] | None = None,
         **changes: Any,
     ) -> None:
-        """Changes these backends in discovery, in one new version for each service concerned.
+        """Changes these backends in discovery: one new list version for each service that has any of them.
 
-        The versions are tracked at the proxies of `zones` (default: all), from the monotonic time
-        `counted_from` (default: when the version was made).
+        Each version is tracked (see TrackedVersion); by default, `counted_from` is the time at which the
+        version was created, and `zones` are all zones.
         """
         by_service: dict[int, list[str]] = {}
         for name in names:
@@ -93,7 +93,7 @@
             )
 
     def pick_backends(self, count: int) -> list[str]:
-        """Returns names of `count` backends: the first ones of each service, the services in turn."""
+        """Returns the names of `count` backends: the first of each service, then the second of each, etc."""
         services = self.fleet.experiment.backends.services
         return [f"b{number % services}-{number // services}" for number in range(count)]
 
@@ -102,9 +102,9 @@
         backends = [name for name, plan in self.fleet.backends.items() if plan.zone == zone]
         return backends, [name for name, plan in self.fleet.proxies.items() if plan.zone == zone]
 
-    # One method for each kind of fault; experiment.py describes them.
+    # One method for each kind of fault; the classes in experiment.py describe the faults.
     async def change(self, fault: Change) -> None:
-        """Changes the weights of some backends, several times."""
+        """Changes the weights of some backends `times` times."""
         for number in range(fault.times):
             await self.sleep_until(fault.at_s + number * fault.every_s)
             await self.change_list("change", self.pick_backends(fault.entries), weight=2.0 - number % 2)
@@ -118,8 +118,12 @@
                 at_s = fault.at_s + number * spacing
                 group.create_task(self._restart(name, at_s, fault.drain_s, fault.down_s, fault.proxies))
 
-    async def _restart(self, name: str, at_s: float, drain: float, down: float, proxies: bool) -> None:
-        """Restarts a backend with its own proxy and, if `proxies`, one of the first service."""
+    async def _restart(self, name: str, at_s: float, drain_s: float, down_s: float, proxies: bool) -> None:
+        """Restarts a backend and the proxy that carries its calls.
+
+        With `proxies`, a backend of the first service is restarted together with the hollow proxy of that
+        service that has the same number.
+        """
         await self.sleep_until(at_s)
         companions = [f"n0-{name.partition('-')[2]}"] if proxies and name.startswith("b0-") else []
         companions = [
@@ -129,19 +133,19 @@
         ]
         companions += [plan.name for plan in self.fleet.proxies.values() if plan.of_backend == name]
         await self.change_list("restart: draining", [name], status="Terminating")
-        await asyncio.sleep(drain)
+        await asyncio.sleep(drain_s)
         await self.fleet.send_to_holders("stop", [name])
         if companions:
             await self.fleet.send_to_holders("stop", companions)
         await self.change_list("restart: gone", [name], status="Gone")
-        await asyncio.sleep(down)
+        await asyncio.sleep(down_s)
         if companions:
             await self.fleet.send_to_holders("start", companions)
         await self.fleet.send_to_holders("start", [name])
         await self.change_list("restart: back", [name], status="Ready", since_ms=self.now_ms())
 
     async def crash(self, fault: Crash) -> None:
-        """Kills some backends; discovery learns of it later."""
+        """Kills some backends; discovery removes them from the lists `notice_s` later."""
         await self.sleep_until(fault.at_s)
         names = self.pick_backends(fault.count)
         self.record_event("crash", {"backends": len(names)})
@@ -153,27 +157,27 @@
         await self.change_list("crash: back", names, status="Ready", since_ms=self.now_ms())
 
     async def discovery_outage(self, fault: DiscoveryOutage) -> None:
-        """Stops discovery; a change that is made meanwhile reaches the proxies after its return."""
+        """Stops discovery; a change made right before its return reaches the proxies after the return."""
         await self.sleep_until(fault.at_s)
         await self.fleet.send_to_discovery("down")
         self.record_event("discovery is down", {})
         await self.sleep_until(fault.at_s + fault.for_s)
-        first = len(self.tracked_versions)
+        first_index = len(self.tracked_versions)
         await self.change_list("outage: change", self.pick_backends(1), weight=2.0)
         up_at = (await self.fleet.send_to_discovery("up"))["at"]
-        self._set_counted_from(first, up_at)
+        self._set_counted_from(first_index, up_at)
         self.record_event("discovery is back", {})
 
-    def _set_counted_from(self, first: int, counted_from: float) -> None:
-        """Sets the time from which the tracked versions with index `first` and higher are counted."""
-        for index in range(first, len(self.tracked_versions)):
+    def _set_counted_from(self, first_index: int, counted_from: float) -> None:
+        """Replaces `counted_from` of all tracked versions from this index on."""
+        for index in range(first_index, len(self.tracked_versions)):
             tracked = self.tracked_versions[index]
             self.tracked_versions[index] = TrackedVersion(
                 tracked.label, tracked.service, tracked.version, counted_from, tracked.zones
             )
 
     async def zone_loss(self, fault: ZoneLoss) -> None:
-        """Partitions a zone; its backends and proxies come back as new processes."""
+        """Partitions a zone and kills its proxies; backends and proxies come back as new processes."""
         await self.sleep_until(fault.at_s)
         backends, proxies = self.members_of_zone(fault.zone)
         others = self.all_zones - {fault.zone}
@@ -201,14 +205,14 @@
         """
         regions = self.fleet.experiment.regions
         await self.sleep_until(fault.at_s)
-        orders = []
+        region_senders = []  # each sends a command to all backends of one region
         for region, zones in enumerate(regions):
             others = [number for number in range(len(regions)) if number != region]
             names = [name for name, plan in self.fleet.backends.items() if plan.zone in zones]
-            orders.append(partial(self.fleet.send_to_holders, names=names, regions=others))
+            region_senders.append(partial(self.fleet.send_to_holders, names=names, regions=others))
         far_zones = [zone for zones in regions[1:] for zone in zones]
         await asyncio.gather(
-            *(order("cut") for order in orders), self.fleet.send_to_discovery("cut", far_zones)
+            *(send("cut") for send in region_senders), self.fleet.send_to_discovery("cut", far_zones)
         )
         self.record_event("the regions are cut", {})
         await self.sleep_until(fault.at_s + fault.for_s / 2)
@@ -218,7 +222,7 @@
         )
         tracked = self.tracked_versions[-1]
         await self.sleep_until(fault.at_s + fault.for_s)
-        await asyncio.gather(*(order("heal") for order in orders))
+        await asyncio.gather(*(send("heal") for send in region_senders))
         healed_at = (await self.fleet.send_to_discovery("heal"))["at"]
         self.tracked_versions.append(
             TrackedVersion(
@@ -233,8 +237,8 @@
 ) -> float | None:
     """Returns the seconds until a proxy had applied a version or a later one; None: never.
 
-    They count from the proxy's own start if it started later than `tracked.counted_from`. `applied_at` has
-    the monotonic time for each version that the proxy applied.
+    If the proxy was started after `tracked.counted_from`, but before it applied the version, they count from
+    that start. `applied_at` has the monotonic time for each version that the proxy applied.
     """
     times = [at for version, at in applied_at.items() if version >= tracked.version]
     if not times:
--- a/granitepoint/fleet/wire.py
+++ b/granitepoint/fleet/wire.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 connections of the simulated services.
+"""HTTP/1.1 connections of the simulated services and callers.
 
-The server side can refuse connections or stop answering, as a dead or unreachable machine does.
+The server side can refuse connections, like a machine without the process, or stop answering, like an
+unreachable machine.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A complete request."""
+    """A complete request, as the server side has received it."""
 
     method: str
     target: str
@@ -58,18 +59,18 @@
         self.body: list[bytes] = []
         self.request_count = 0
         self.raw_bytes = 0  # received since the last complete request
-        self.last_active_at = 0.0  # monotonic, of the last byte in either direction
-        self.silent = False
+        self.last_active_at = 0.0  # monotonic, of the last byte in either direction, or of the connect
+        self.silent = False  # see `silence`
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Implements asyncio.Protocol."""
+        """Implements asyncio.Protocol: informs the handler of the listener."""
         self.transport = cast(asyncio.Transport, transport)
         self.last_active_at = time.monotonic()
         self.listener.peers.add(self)
         self.listener.handler.on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Implements asyncio.Protocol."""
+        """Implements asyncio.Protocol: informs the handler of the listener."""
         self.transport = self.parser = None
         self.listener.peers.discard(self)
         self.listener.handler.on_disconnect(self)
@@ -90,7 +91,7 @@
         self.target, self.headers, self.body = b"", {}, []
 
     def on_url(self, part: bytes) -> None:
-        """Callback of the parser: a part of the request target."""
+        """Callback of the parser: a part of the request target (path and query)."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -128,7 +129,7 @@
         return True
 
     def silence(self) -> None:
-        """Stops reading and answering; the connection stays open."""
+        """Stops reading and answering, as behind a network partition; the connection stays open."""
         self.silent = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
@@ -139,7 +140,7 @@
             self.transport.close()
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection at once; pending output is dropped."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -156,9 +157,9 @@
         self.peers: set[Peer] = set()
         self.bytes_in = self.bytes_out = self.accepted = 0
         self.socket: socket.socket | None = None
-        self.backlog_fillers: list[socket.socket] = []
+        self.backlog_fillers: list[socket.socket] = []  # see `partition`
         self.partitioned = False
-        self.attaching: set[asyncio.Task[None]] = set()
+        self.attach_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
@@ -166,7 +167,7 @@
         return f"{self.host}:{self.port}"
 
     def open(self) -> None:
-        """Starts listening, on the same port as before. Does nothing if it is open already."""
+        """Starts listening, always on the same port. Does nothing if it listens already."""
         if self.socket is not None:
             return
         new = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -189,8 +190,8 @@
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.accepted += 1
             task = asyncio.get_running_loop().create_task(self._attach(accepted))
-            self.attaching.add(task)
-            task.add_done_callback(self.attaching.discard)
+            self.attach_tasks.add(task)
+            task.add_done_callback(self.attach_tasks.discard)
 
     async def _attach(self, accepted: socket.socket) -> None:
         with contextlib.suppress(OSError):
@@ -199,8 +200,8 @@
                 peer.silence()
 
     def refuse(self) -> None:
-        """Simulates a dead process: resets open connections and refuses new ones."""
-        self._close_fillers()
+        """Simulates a killed process: resets open connections and refuses new ones. Ends a partition."""
+        self._end_partition()
         if self.socket is not None:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
@@ -208,7 +209,7 @@
         self._abort_connections()
 
     def partition(self) -> None:
-        """Simulates a network partition. Does nothing if it is not listening."""
+        """Simulates a network partition. Does nothing if the listener refuses connections."""
         if self.partitioned or self.socket is None:
             return
         self.partitioned = True
@@ -228,7 +229,7 @@
     def heal(self) -> None:
         """Ends a partition: the address is reachable again, and connections from before are reset."""
         if self.partitioned and self.socket is not None:
-            self._close_fillers()
+            self._end_partition()
             self._abort_connections()
             with contextlib.suppress(BlockingIOError, ConnectionError):
                 while True:
@@ -236,7 +237,7 @@
             self.socket.listen(LISTEN_BACKLOG)
             asyncio.get_running_loop().add_reader(self.socket, self._accept)
 
-    def _close_fillers(self) -> None:
+    def _end_partition(self) -> None:
         self.partitioned = False
         for filler in self.backlog_fillers:
             filler.close()
@@ -266,8 +267,8 @@
         self.headers: Headers = {}
         self.body: list[bytes] = []
         self.pending_answer: asyncio.Future[Answer] | None = None
-        self.answer_started = False  # a part of the answer has been received
-        self.reusable = False
+        self.answer_started = False  # a part of the answer to the last request has been received
+        self.reusable = False  # the last answer is complete, and the server keeps the connection open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Implements asyncio.Protocol."""
@@ -310,8 +311,8 @@
     async def send_request(self, data: bytes) -> Answer:
         """Writes a serialized request and waits for its answer.
 
-        Raises ConnectionError if the connection ends first; `answer_started` says whether a part of the
-        answer had been received by then.
+        Raises ConnectionError if the connection has ended already, or ends before the answer is complete; in
+        the second case `answer_started` says whether a part of the answer had been received.
         """
         if self.transport is None or self.transport.is_closing():
             raise ConnectionError("connection closed before the request was sent")
@@ -332,6 +333,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Splits "host:port"."""
+    """Returns the host and the port of "host:port"."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -1,7 +1,8 @@
-"""One worker process of a fleet: simulates many members of one role, as commanded over a pipe.
+"""One worker process of a fleet: simulates members of one role, such as backends, as commanded over a pipe.
 
-Standard input: the role, then commands, one JSON line each; standard output: a reply to each. The process
-ends with its input, so that it doesn't outlive the run that started it, and after MAX_LIFETIME in any case.
+Standard input: the specification of the role, then commands, one JSON line each; standard output: a reply to
+each. The process ends with its input, so that it doesn't outlive the run that started it, and after
+MAX_LIFETIME in any case.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 import uvloop
 
 from granitepoint.benchlink import read_settings
-from granitepoint.fleet import backends as hollow_backends
+from granitepoint.fleet import backends as simulated_backends
 from granitepoint.fleet.callers import Callers, Front, ProxyTarget, call_next_service, proxy_targets
 from granitepoint.fleet.discovery import CallCounts, Discovery, ListedBackend, ServiceList
 from granitepoint.fleet.experiment import Experiment
@@ -35,7 +36,7 @@
 from granitepoint.net import logs
 from granitepoint.net.config import Config, flatten_settings
 
-MAX_LIFETIME = 900.0  # s
+MAX_LIFETIME = 900.0  # s after which the process ends in any case
 
 
 class BackendsSpec(msgspec.Struct, tag="backends"):
@@ -60,7 +61,7 @@
     """The discovery service, with the server lists that it starts with."""
 
     experiment: Experiment
-    lists: list[list[ListedBackend]]  # by service
+    lists: list[list[ListedBackend]]  # the first server list of each service
     addresses: dict[str, list[str]]  # backend: its address for each region
     desks: list[DiscoveryEndpointPlan]  # endpoints, one for each proxy
 
@@ -71,11 +72,11 @@
     experiment: Experiment
     proxies: list[ProxyPlan]
     discovery: dict[str, str]  # proxy: its discovery address
-    known: dict[str, dict[str, Any]]  # "service region": the list in the configuration
+    known: dict[str, dict[str, Any]]  # "SERVICE REGION" (indices): the server list in the configuration
 
 
 class RealProxiesSpec(msgspec.Struct, tag="programs"):
-    """All real proxies: each is the program itself in a process of its own."""
+    """All real proxies of the fleet: each is the program itself, in a process that the worker starts."""
 
     experiment: Experiment
     proxies: list[ProxyPlan]
@@ -89,8 +90,8 @@
 
     experiment: Experiment
     seed: int
-    proxies: dict[str, str]  # proxy: address
-    zones: dict[str, str]  # proxy: zone
+    proxies: dict[str, str]  # proxies that the callers use: name, address
+    zones: dict[str, str]  # their zones, by name
 
 
 Spec = BackendsSpec | DiscoverySpec | ProxiesSpec | RealProxiesSpec | CallersSpec
@@ -101,7 +102,7 @@
 
     number: int  # unique; the reply has the same number
     do: str
-    names: list[str] = []  # members that it applies to
+    names: list[str] = []  # members (for discovery: backends or zones) that it applies to
     args: dict[str, Any] = {}
 
 
@@ -114,14 +115,14 @@
 
 
 class Role:
-    """What a worker process simulates.
+    """Base of the roles: what a worker process simulates.
 
-    `start` prepares everything; `do_X` carries out the command X. Both return what the run needs to know.
-    `end` is called when the input ends.
+    `start` is called first; `do_X` carries out the command X. Their results are sent as replies. `end` is
+    called when the input ends.
     """
 
     async def start(self) -> dict[str, Any]:
-        """Prepares the role; returns addresses and the like."""
+        """Starts all members; returns what other processes need, such as addresses."""
         raise NotImplementedError
 
     async def do_mark(self, command: Command) -> dict[str, Any]:
@@ -138,7 +139,7 @@
 
 
 class BackendsRole(Role):
-    """Simulated backends, of one service or of several."""
+    """Simulated backends, of one service or of several services."""
 
     def __init__(self, spec: BackendsSpec) -> None:
         """Creates the backends; those of every service but the last call the next service."""
@@ -150,10 +151,10 @@
         self.next_call_count = 0
         failure_rng = np.random.default_rng(derive_seed(spec.seed, "fails"))
         failure_draws = iter(lambda: float(failure_rng.random()), None)
-        service_times = hollow_backends.draw_service_times(sizes, derive_seed(spec.seed, "times"))
+        service_times = simulated_backends.draw_service_times(sizes, derive_seed(spec.seed, "times"))
         last_service = sizes.services - 1
         self.backends = {
-            plan.name: hollow_backends.Backend(
+            plan.name: simulated_backends.Backend(
                 plan.name, plan.zone, plan.hosts, sizes, settings, service_times, failure_draws,
                 self._call_next_service if plan.service < last_service else None,
             )
@@ -163,16 +164,18 @@
         self.idle_sweep_task: asyncio.Task[None] | None = None
 
     async def start(self) -> dict[str, Any]:
-        """Opens all listeners; returns the addresses of each backend, one for the callers of each region."""
+        """Opens all listeners; returns the addresses of each backend, one for the proxies of each region."""
         for backend in self.backends.values():
             backend.start()
-        self.idle_sweep_task = asyncio.create_task(hollow_backends.sweep_idle(list(self.backends.values())))
+        self.idle_sweep_task = asyncio.create_task(
+            simulated_backends.sweep_idle(list(self.backends.values()))
+        )
         return {
             name: [listener.address for listener in backend.listeners]
             for name, backend in self.backends.items()
         }
 
-    def _call_next_service(self, backend: hollow_backends.Backend, message: Message) -> asyncio.Task[bool]:
+    def _call_next_service(self, backend: simulated_backends.Backend, message: Message) -> asyncio.Task[bool]:
         """Makes a backend's own calls to the next service; whether all were served is the task's result."""
         cls = self.classes[message.target[1:].partition("?")[0].partition("/")[0]]
         budget_header = message.headers.get("x-budget", "")
@@ -201,7 +204,7 @@
         return {}
 
     async def do_drain(self, command: Command) -> dict[str, Any]:
-        """Lets the named backends drain."""
+        """Lets the named backends drain: they reject new requests."""
         for name in command.names:
             self.backends[name].drain()
         return {}
@@ -213,7 +216,7 @@
         return {}
 
     def _listeners(self, command: Command) -> list[Listener]:
-        """The listeners of the named backends, for the callers of the given regions or else of all."""
+        """The listeners of the named backends for the proxies of the given regions; none given: of all."""
         regions = command.args.get("regions")
         return [
             listener
@@ -305,7 +308,7 @@
         return {"at": time.monotonic()}
 
     async def do_cut(self, command: Command) -> dict[str, Any]:
-        """Cuts off the proxies of the named zones."""
+        """Partitions the proxies of the named zones from discovery."""
         self.discovery.partition(command.names)
         return {}
 
@@ -329,7 +332,7 @@
         """Returns the counts of all proxies together.
 
         `most_bytes_of_one` is the largest number of bytes exchanged with one proxy. `told` has for each proxy
-        the monotonic time at which each version was first sent to it.
+        the monotonic time at which each list version was first sent to it.
         """
         discovery = self.discovery
         names = (
@@ -439,10 +442,10 @@
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
-        """Returns the summed counts, and the stage times of calls as packed histograms.
+        """Returns the summed counts, and the stage times of calls as encoded histograms.
 
-        `in_force` and `starts` have for each proxy the monotonic times at which versions came into force and
-        at which it was started; `serving` has the size of its server pool.
+        `in_force` and `starts` have for each proxy the monotonic times at which it applied list versions and
+        at which it was started; `serving` has the number of servers in its pool.
         """
         totals = self._totals()
         totals.subtract(self.totals_at_mark)
@@ -479,11 +482,12 @@
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self) -> dict[str, Any]:
-        """Starts all proxies; returns their addresses and process ids."""
+        """Starts all real proxies; returns their addresses and process ids."""
         import socket
 
         for name, plan in self.plans.items():
-            # No other process uses this loopback address, so the port stays free.
+            # The port that is chosen here stays free until the proxy listens on it, as no other process uses
+            # this loopback address.
             with socket.socket() as temporary_socket:
                 temporary_socket.bind((plan.host, 0))
                 self.ports[name] = temporary_socket.getsockname()[1]
@@ -491,7 +495,7 @@
         return self._addresses_and_pids()
 
     def _addresses_and_pids(self) -> dict[str, Any]:
-        """Addresses and process ids of all proxies, by name."""
+        """The addresses and the process ids of all real proxies, by name."""
         return {
             "addresses": {name: f"{plan.host}:{self.ports[name]}" for name, plan in self.plans.items()},
             "pids": {name: process.pid for name, process in self.processes.items()},
@@ -535,7 +539,7 @@
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
-        """Returns the names of proxies whose process has exited."""
+        """Returns the names of the proxies whose process has exited or was killed."""
         return {"ended": [name for name, process in self.processes.items() if process.returncode is not None]}
 
     async def end(self) -> None:
@@ -572,17 +576,17 @@
         return {}
 
     async def do_call(self, command: Command) -> dict[str, Any]:
-        """Sends calls from `begin` to `end`; calls that are planned from `mark` on are counted."""
+        """Sends calls from `begin` to `end` and counts those planned from `mark` on (all monotonic times)."""
         args = command.args
         self.callers.measured_from = args["mark"]
         if args["rate"] > 0:
             self.tasks.append(asyncio.create_task(self.front.run_health_checks()))
-            sending = self.callers.run(args["rate"], args["begin"], args["end"])
-            self.tasks.append(asyncio.create_task(sending))
+            calls = self.callers.run(args["rate"], args["begin"], args["end"])
+            self.tasks.append(asyncio.create_task(calls))
         return {}
 
     async def do_figures(self, command: Command) -> dict[str, Any]:
-        """Returns the results of the calls; waits until the last has ended, unless `now` is set."""
+        """Returns the results of the calls; waits until the last call has ended, unless `now` is set."""
         for task in self.tasks[1:]:
             if not command.args.get("now"):
                 await task
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send malformed, slow, oversized or no requests get an error or a close, and harm no others."""
+"""Malformed, slow, oversized and missing requests get an error or a close; other callers are served."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize(("code", "begin", "more"), ENDLESS_REQUESTS.values(), ids=ENDLESS_REQUESTS)
 def test_an_endless_request_is_rejected_at_the_size_limit(code: int, begin: bytes, more: bytes) -> None:
-    """The data is sent at full speed: the size limit applies, long before the read timeout."""
+    """The data is sent at full speed, so that it reaches the size limit long before the read timeout."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
@@ -118,7 +118,7 @@
             if act is send_whole_then_half:
                 await act_task
             assert await read_rejection(caller) == code
-            assert 1.8 < asyncio.get_running_loop().time() - started_at < 3.0
+            assert 1.8 < asyncio.get_running_loop().time() - started_at < 3.0  # the read timeout is 2.2 s
             act_task.cancel()
 
     run(test())
@@ -231,7 +231,10 @@
 
 
 def test_the_number_of_large_requests_in_memory_is_limited() -> None:
-    """Each request may have 256 KB, and memory is scarce. The limit is 71 connections, so none is evicted."""
+    """Requests beyond the memory limit get 413; the others time out, as their bodies are never complete.
+
+    The limit is 71 connections, so that none of the 60 is evicted.
+    """
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}, sockets=160) as node:
@@ -239,7 +242,8 @@
             callers = [await node.caller() for _ in range(60)]
             for caller in callers:
                 caller.writer.write(begin + bytes(100_000))
-            codes = await asyncio.gather(*(read_rejection(caller) for caller in callers))  # read as they come
+            codes = await asyncio.gather(*(read_rejection(caller) for caller in callers))
+            # Large requests may take a tenth of the memory beyond the 20 MB of the process, 0.5 MB each.
             assert 0 < codes.count(408) <= 0.1 * (192 - 20) / 0.5 and codes.count(413) >= 20
             assert set(codes) <= {408, 413}
             caller = await node.caller()
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -41,19 +41,22 @@
         (REQUIRED + "[backends]\ncuont = 3\n", "cuont"),
         (REQUIRED + "[backends]\ncount = 'many'\n", "backends.count"),
         (REQUIRED + "[backends]\ncount = 0\n", "backends.count"),
-        (REQUIRED + "[backends]\nfanout = 2\n", "backends.fanout"),  # has no effect
+        (REQUIRED + "[backends]\nfanout = 2\n", "backends.fanout"),  # no effect with one service
         (REQUIRED + "[backends]\nregions = [['a']]\n", "backends.regions"),
-        (REQUIRED + "[proxies]\ntimed = true\n", "proxies.timed"),  # has no effect
+        (REQUIRED + "[proxies]\ntimed = true\n", "proxies.timed"),  # no effect without hollow proxies
         (REQUIRED + "[proxies]\nreal = 0\n", "proxies"),
         (REQUIRED + "[callers]\nmix = { raed = 1.0 }\n", "callers.mix.raed"),
-        (REQUIRED + "[callers]\nrate_per_s = 0\nmix = { read = 1.0 }\n", "callers.mix"),  # has no effect
+        (
+            REQUIRED + "[callers]\nrate_per_s = 0\nmix = { read = 1.0 }\n",
+            "callers.mix",
+        ),  # no effect without calls
         (REQUIRED + "[settings]\nquantom = 0.1\n", "settings.quantom"),
         (REQUIRED + "[settings.contract]\nclod = 1.0\n", "settings.contract.clod"),
         (REQUIRED + "[settings]\nquantum = -1.0\n", "quantum"),
         (REQUIRED + "[[troubles]]\nkind = 'fire'\nat_s = 1.0\n", "fire"),
         (
             REQUIRED + "[[troubles]]\nkind = 'change'\nat_s = 1.0\nfor_s = 2.0\n",
-            "for_s",  # has no effect
+            "for_s",  # not a key of this kind of fault
         ),
         (REQUIRED + "[[troubles]]\nkind = 'change'\nat_s = 9.0\n", "troubles[0].at_s"),
         (
@@ -196,18 +199,18 @@
         return True
 
     monkeypatch.setattr(slopes, "run", fake_run)
-    assert slopes.run_series("rate", tmp_path, lambda text, share: None)
+    assert slopes.run_series("rate", tmp_path, lambda text, fraction_done: None)
     lines = {line.figure: line for line in slopes.read_lines(tmp_path)}
     assert lines["cores of a real proxy"].slope == pytest.approx(0.001)
     assert lines["cores of a real proxy"].base == pytest.approx(0.01)
     assert lines["added by a real proxy, 99"].points[0] == (10.0, 2.0)
     monkeypatch.setattr(slopes, "run", lambda experiment, path: False)  # interrupted
-    assert not slopes.run_series("depth", tmp_path, lambda text, share: None)
+    assert not slopes.run_series("depth", tmp_path, lambda text, fraction_done: None)
     assert not (tmp_path / "lines-depth.jsonl").exists()
 
 
 def test_state_is_counted_for_each_backend_call_and_id(tmp_path: Path) -> None:
-    assert slopes.run_series("state", tmp_path, lambda text, share: None)
+    assert slopes.run_series("state", tmp_path, lambda text, fraction_done: None)
     lines = slopes.read_lines(tmp_path)
     assert [line.per for line in lines] == ["backend", "open call", "remembered id"]
     assert all(50 < line.slope < 20_000 for line in lines)
--- a/tests/test_fleet_run.py
+++ b/tests/test_fleet_run.py
@@ -1,6 +1,6 @@
 """Runs of a small fleet with real and hollow proxies, faults and an interrupt.
 
-The interrupt is sent on a progress report of the run, not after a fixed time.
+The interrupt is sent when the run reports that it is measuring, not after a fixed time.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
 def test_an_interrupt_ends_all_processes_and_keeps_what_was_measured(tmp_path: Path) -> None:
     path = tmp_path / "small.jsonl"
 
-    def interrupt_when_measuring(text: str, share: float) -> None:
+    def interrupt_when_measuring(text: str, fraction_done: float) -> None:
         if text == "measuring":
             os.kill(os.getpid(), signal.SIGINT)
 
--- a/tests/test_fleet_stand_ins.py
+++ b/tests/test_fleet_stand_ins.py
@@ -1,4 +1,7 @@
-"""The simulated services of the fleet behave as PROTOCOL says; on real sockets with kernel-chosen ports."""
+"""The simulated services of the fleet follow the specification PROTOCOL.
+
+The tests use real sockets with ports that the kernel chooses.
+"""
 
 from __future__ import annotations
 
@@ -247,14 +250,14 @@
         backend.stop()
 
 
-def call(number: int) -> bytes:
+def call_request(number: int) -> bytes:
     return build_request(RequestClass("read", 1.0, 0.3, 1.0), f"{number:x}", 1.0, False)
 
 
 def test_a_backend_serves_requests_with_an_id_and_reports_its_load() -> None:
     async def test() -> None:
         async with running_backend() as (backend, caller):
-            answer = await caller.raw(call(1))
+            answer = await caller.raw(call_request(1))
             assert (answer.code, answer.body) == (200, b"1")
             received_us, answered_us = map(float, answer.headers["x-span"].split(","))
             assert received_us <= answered_us <= time.monotonic() * 1e6
@@ -263,14 +266,14 @@
             assert (await caller.raw(GET_REQUEST % b"/healthz")).code == 200
             backend.drain()
             assert (await caller.raw(GET_REQUEST % b"/healthz")).code == 503
-            rejected = await caller.raw(call(2))
+            rejected = await caller.raw(call_request(2))
             assert (rejected.code, rejected.headers["x-rejected"]) == (503, "1")
             backend.stop()
             assert await caller.closed_by_proxy()
             with pytest.raises(ConnectionRefusedError):
                 await connect(backend.listeners[0].address)
             backend.start()
-            assert (await (await connect(backend.listeners[0].address)).raw(call(3))).code == 200
+            assert (await (await connect(backend.listeners[0].address)).raw(call_request(3))).code == 200
             assert (backend.counts["served"], backend.counts["probes"]) == (2, 3)
             assert backend.counts["probe bytes"] > 3 * len(GET_REQUEST % b"/load")
 
@@ -291,14 +294,14 @@
         async with running_backend(cores=1, queue=1, service_ms=3_600_000.0) as (backend, caller):
             for number in (1, 2):
                 (caller if number == 1 else await connect(backend.listeners[0].address)).writer.write(
-                    call(number)
+                    call_request(number)
                 )
             while backend.counts["begun"] < 2:
                 await asyncio.sleep(0)
             third = await connect(backend.listeners[0].address)
-            assert (await third.raw(call(3))).headers["x-rejected"] == "1"
+            assert (await third.raw(call_request(3))).headers["x-rejected"] == "1"
         async with running_backend(fail_share=0.6) as (_, caller):
-            answer = await caller.raw(call(4))
+            answer = await caller.raw(call_request(4))
             assert answer.code == 500 and "x-rejected" not in answer.headers
 
     run(test())
@@ -313,7 +316,7 @@
             assert [backend.capacity(begin + age) for age in (0.0, 5.0, 20.0)] == [0.5, 0.75, 1.0]
             for number in (1, 2):
                 other = await connect(backend.listeners[0].address)
-                other.writer.write(call(number))
+                other.writer.write(call_request(number))
             assert await caller.closed_by_proxy()
             assert backend.counts["fell over cold"] == 1
 
@@ -370,7 +373,7 @@
             callers = make_callers(target)
             await callers.call(callers.classes[0], "a", time.monotonic())
             backend.stop()
-            backend.start()  # closes the idle connection; the front hasn't noticed yet
+            backend.start()  # resets the idle connection, which the front still takes for open
             await callers.call(callers.classes[0], "a", time.monotonic())
             assert callers.tally.by_zone["a served"] == 2 and backend.counts["begun"] == 2
 
