--- a/granitepoint/__main__.py
+++ b/granitepoint/__main__.py
@@ -20,28 +20,33 @@
 
 # Graceful shutdown. The platform sends SIGKILL when the longest deadline of the classes, at most
 # SHUTDOWN_MAX_DEADLINE_S, and then SHUTDOWN_KILL_DELAY_S have passed since SIGTERM.
-SHUTDOWN_ACCEPT_S = 0.6  # from SIGTERM until the listener closes; the front has noticed the shutdown by then
+# From SIGTERM until the listener closes. By then the front, which distributes the clients' calls over the
+# proxies, has noticed the shutdown.
+SHUTDOWN_ACCEPT_S = 0.6
 SHUTDOWN_MAX_DEADLINE_S = 3.0
 SHUTDOWN_KILL_DELAY_S = 0.7
-SHUTDOWN_KILL_MARGIN_S = 0.4  # before SIGKILL, by which every request is answered
-SHUTDOWN_CLOSING_S = 1.0  # last phase before that, in which each answer closes its connection
-SHUTDOWN_PARTIAL_REQUEST_S = 0.2  # in the last phase, for partial requests to become complete
+SHUTDOWN_KILL_MARGIN_S = 0.4  # before SIGKILL; every request is answered this long before it, at the latest
+# The last phase before every request has to be answered; in it each answer closes its connection.
+SHUTDOWN_CLOSING_S = 1.0
+SHUTDOWN_PARTIAL_REQUEST_S = 0.2  # from the start of that phase, for partial requests to become complete
 SHUTDOWN_POLL_INTERVAL_S = 0.01  # between checks whether every request is answered
-SHUTDOWN_LINGER_S = 1.0  # after that, for the peers to receive the last answers
+SHUTDOWN_LINGER_S = 1.0  # after the last answer, for the peers to receive it; SIGKILL may come earlier
 
 
 async def drain(server: Server, driver: Driver) -> None:
-    """Shuts down gracefully: returns once every request is answered, in time before the SIGKILL.
+    """Shuts down gracefully: every request is answered in time before the SIGKILL.
+
+    Returns when every connection is closed, or SHUTDOWN_LINGER_S after the last answer.
 
     Open connections are served as usual for as long as all requests can still be answered in time, because
     the callers' other proxies may be few, or restarting too. Then each answer closes its connection and idle
-    connections are closed. A request that is still incomplete at the end is refused.
+    connections are closed. A request that is still incomplete after SHUTDOWN_PARTIAL_REQUEST_S is refused.
     """
     longest_deadline = max(cls.deadline for cls in driver.settings.classes)
-    answer_period = (
+    time_to_answer = (
         min(longest_deadline, SHUTDOWN_MAX_DEADLINE_S) + SHUTDOWN_KILL_DELAY_S - SHUTDOWN_KILL_MARGIN_S
     )
-    driver.shutdown_deadline = time.monotonic() + answer_period
+    driver.shutdown_deadline = time.monotonic() + time_to_answer
     log.info("sigterm", connections=len(server.connections), calls=len(driver.calls))
     await asyncio.sleep(SHUTDOWN_ACCEPT_S)
     await server.accept_pending(driver.shutdown_deadline)
--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -31,10 +31,11 @@
     "FAILED": api.ListKind.FAILED,
 }
 REPORT_NAMES = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")  # of a load report
-WEIGHT_SOURCES = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
+WEIGHT_MEANINGS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
 UTILITY_UNITS = {"work": "work", "request": "request"}
 REPORT_CHANNELS = {"inline": "answer", "on_probe": "probe", "off": "none"}
-NON_EVENT_TAGS = ("m", "tick", "eor")  # an error within a batch; other unknown tags are ignored
+# These tags never stand where an event may stand: there they are an error, while unknown tags are ignored.
+NON_EVENT_TAGS = ("m", "tick", "eor")
 
 
 class WireError(Exception):
@@ -107,7 +108,10 @@
 
 
 def _load_report(fields: Fields) -> dict[str, float] | None:
-    """Returns the known values of a load report; None if there is no report."""
+    """Returns the values of a load report that REPORT_NAMES lists; None if there is no report.
+
+    Raises WireError.
+    """
     text = fields.get("load")
     if not text or text == "-":
         return None
@@ -125,7 +129,7 @@
 
 
 def _status(fields: Fields) -> int:
-    """Returns the number of an api.Status."""
+    """Returns the field `reason`, the number of an api.Status. Raises WireError."""
     status = _int(fields, "reason")
     if not 0 <= status <= max(api.Status):
         raise WireError(f"field reason is unknown: {status}")
@@ -204,7 +208,7 @@
         passes_deadline=_bool(params, "specifics.passes_deadline", False),
         report_names=tuple(n for n in _comma_separated(params.get("report.names", "")) if n in REPORT_NAMES),
         reports=_choice(params, "report.via", REPORT_CHANNELS, "probe"),
-        weights=_choice(params, "weights", WEIGHT_SOURCES, "nominal"),
+        weights=_choice(params, "weights", WEIGHT_MEANINGS, "nominal"),
         connect_timeout=_number(params, limits + "connect_timeout", 0.25),
         calls_per_connection=_int_or(params, limits + "streams_per_conn", 1),
         cpu_per_s=_number(params, limits + "cpu_us_per_s", 0.0) / 1e6,
@@ -322,8 +326,8 @@
 
 def write_action(who: str, action: api.Action) -> str:
     """Returns the line for an action of the instance named `who`."""
-    kind = type(action).__name__
-    return ACTION_WRITERS[kind](who, action)
+    class_name = type(action).__name__
+    return ACTION_WRITERS[class_name](who, action)
 
 
 # Class name of an action -> function that writes its line.
--- a/granitepoint/cli/__init__.py
+++ b/granitepoint/cli/__init__.py
@@ -5,7 +5,7 @@
 import sys
 from collections.abc import Sequence
 
-BAD_INPUT = 2  # exit code: the arguments, a file or the installation must be corrected
+EXIT_BAD_INPUT = 2  # exit code: the arguments, a file or the installation must be corrected
 
 
 def main(arguments: Sequence[str]) -> int:
@@ -19,5 +19,5 @@
             f"granitepoint: commands other than run need {error.name}: pip install 'granitepoint[cli]'",
             file=sys.stderr,
         )
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     return app.main(arguments)
--- a/granitepoint/cli/app.py
+++ b/granitepoint/cli/app.py
@@ -21,14 +21,14 @@
 import cyclopts
 import msgspec
 
-from granitepoint.cli import BAD_INPUT
+from granitepoint.cli import EXIT_BAD_INPUT
 from granitepoint.cli import check as check_module
 from granitepoint.cli import explain as explain_module
 from granitepoint.cli import schema as schema_module
 from granitepoint.net.config import ConfigError, load
 
-FAILED = 1  # exit code of an error that the user can't correct in the arguments or in a file
-OUTPUT_CLOSED = 141  # exit code when nobody reads the output: 128 + SIGPIPE (13), as shells report it
+EXIT_FAILED = 1  # exit code of an error that the user can't correct in the arguments or in a file
+EXIT_OUTPUT_CLOSED = 141  # exit code when nobody reads the output: 128 + SIGPIPE (13), as shells report it
 HELP_EPILOGUE = (
     "Units: times are in seconds (s), rates per second (1/s), memory in MB of 2^20 bytes, bodies in KB of "
     "2^10 bytes; a share is from 0 to 1; worth and prices are in points. Exit codes: 0 success, 1 failure, "
@@ -54,16 +54,16 @@
             stream.reconfigure(errors="backslashreplace")
     try:
         exit_code = app(arguments, exit_on_error=False, print_error=False, result_action="return_value")
-        print(end="", flush=True)  # so that a write error is reported here
+        print(end="", flush=True)  # flushes now: a write error is handled below, not at exit
     except (cyclopts.CycloptsError, check_module.FileError, ConfigError) as error:
         return _print_error(str(error))
     except BrokenPipeError:
         _discard_output()
-        return OUTPUT_CLOSED
+        return EXIT_OUTPUT_CLOSED
     except OSError as error:
         _discard_output()
         _print_error(str(error))
-        return FAILED
+        return EXIT_FAILED
     return exit_code if isinstance(exit_code, int) else 0
 
 
@@ -81,7 +81,7 @@
 def _print_error(message: str) -> int:
     """Prints a message as one line on standard error and returns the exit code for bad input."""
     print("granitepoint:", _escape_unprintable(" ".join(message.split())), file=sys.stderr)
-    return BAD_INPUT
+    return EXIT_BAD_INPUT
 
 
 def _version() -> str:
@@ -234,7 +234,10 @@
 
 
 def _report_missing_library(command: str, extra: str, error: ModuleNotFoundError) -> int:
-    """Reports a missing library and the extra that has it. Raises `error` for a module of this package."""
+    """Reports a missing library and the package extra that installs it; returns the exit code.
+
+    Raises `error` again if the missing module belongs to this package.
+    """
     if not error.name or error.name.startswith("granitepoint"):
         raise error
     return _print_error(f"{command} needs {error.name}: pip install 'granitepoint[{extra}]'")
--- a/granitepoint/cli/check.py
+++ b/granitepoint/cli/check.py
@@ -22,7 +22,7 @@
 from granitepoint.net.server import BASE_MEMORY_MB
 
 MAX_FILE_BYTES = 64 << 20  # a list of 100,000 servers takes a third of it
-MAX_PATH_NAMES = 5  # names in a settings path: one more than settings.grades.0.name has
+MAX_PATH_NAMES = 5  # names of a path that are looked at: one more than settings.grades.0.name has
 MAX_VALUE_CHARS, MAX_ERROR_CHARS = 60, 200  # longest value, and longest text of an exception, in a message
 UNKNOWN, NO_EFFECT, DOUBTFUL, OUT_OF_RANGE = "unknown", "no effect", "doubtful", "out of range"
 # In these settings `run` replaces an empty string by the default.
@@ -163,7 +163,7 @@
 
 
 def _path_prefixes(path: str) -> Iterable[str]:
-    """Yields `a`, `a.b` and so on, up to MAX_PATH_NAMES names: one level below the deepest setting."""
+    """Yields `a`, `a.b` and so on, up to MAX_PATH_NAMES names: one more than the deepest setting has."""
     return accumulate(path.split(".", MAX_PATH_NAMES)[:MAX_PATH_NAMES], "{}.{}".format)
 
 
@@ -174,10 +174,10 @@
         """`text_by_path`: the flattened settings, their paths with `settings.` in front."""
         self.text_by_path, self.result = text_by_path, CheckResult([], [])
         self.given_paths = _all_path_prefixes(text_by_path)  # including those of objects and list items
-        self.read_paths: set[str] = set()  # paths that the schema has, present in the file or not
+        self.read_paths: set[str] = set()  # looked up as the schema says, present in the file or not
 
     def add_error(self, path: str, message: str) -> None:
-        """Adds a value out of range to the findings."""
+        """Adds a finding of the kind OUT_OF_RANGE, also for a missing or malformed value."""
         self.result.findings.append(Finding(OUT_OF_RANGE, path, message))
 
     def read_fields(self, fields: Iterable[types.Field], path: str) -> None:
@@ -216,14 +216,16 @@
             return
         names: dict[str, str] = {}  # path of the first item that has the name
         for number in range(count):
-            item = f"{path}.{number}"
-            if item not in self.given_paths:
-                self.add_error(item, f"missing: the list has a count of {count}")
+            item_path = f"{path}.{number}"
+            if item_path not in self.given_paths:
+                self.add_error(item_path, f"missing: the list has a count of {count}")
                 return
-            self.read_fields(info.fields, item)
-            name = self.text_by_path.get(item + ".name")
-            if required and name is not None and names.setdefault(name, item) != item:
-                self.add_error(item + ".name", f"{abbreviate(name)} is already the name of {names[name]}")
+            self.read_fields(info.fields, item_path)
+            name = self.text_by_path.get(item_path + ".name")
+            if required and name is not None and names.setdefault(name, item_path) != item_path:
+                self.add_error(
+                    item_path + ".name", f"{abbreviate(name)} is already the name of {names[name]}"
+                )
 
     def read_value(self, field: types.Field, info: types.Type, extra: dict[str, Any], path: str) -> None:
         """Reads a number, boolean, string or list of strings."""
@@ -254,7 +256,10 @@
         self.result.rows.append(Row(path, value, unit, "file", not no_effect))
 
     def report_unknown(self) -> None:
-        """Reports each path that the schema doesn't have; for a nested object, only its own path."""
+        """Reports each path that the schema doesn't have, and each value in the place of an object or list.
+
+        For an unknown nested object only its own path is reported.
+        """
         known_paths = _all_path_prefixes(self.read_paths)
         messages: dict[str, str] = {}
         for path in self.text_by_path:
@@ -289,7 +294,7 @@
         self.raw, self.environ, self.result = raw, environ, CheckResult([], [])
 
     def add_error(self, path: str, message: str) -> None:
-        """Adds a value out of range to the findings."""
+        """Adds a finding of the kind OUT_OF_RANGE, also for a missing or malformed value."""
         self.result.findings.append(Finding(OUT_OF_RANGE, path, message))
 
     def report_unknown(self, keys: Iterable[str], struct: type[Struct], path: str) -> None:
--- a/granitepoint/cli/explain.py
+++ b/granitepoint/cli/explain.py
@@ -221,7 +221,7 @@
 
 
 async def _connections_and_memory(config: Config) -> Section:
-    """Reads the limits from a server and a connection pool that are created but never started."""
+    """Reads the limits from a Server and an Upstreams object that are created but open no sockets."""
     handler: Any = None
     caller_server = server.Server({}, handler, config.sockets, config.memory_mb)
     settings = config.settings
--- a/granitepoint/cli/schema.py
+++ b/granitepoint/cli/schema.py
@@ -227,7 +227,7 @@
 
 
 class ObjectiveMix(Struct, kw_only=True):
-    """Weights of the parts of the result."""
+    """Weights of the parts of the overall score."""
 
     whole: Annotated[float, _meta("the whole day", SHARE, "goal_whole", _WEIGHT_NOT_USED, ge=0)] = 1.0
     worst_window: Annotated[
@@ -348,8 +348,8 @@
     address: Annotated[str, Meta(description="host:port, a numeric host")]
     status: Literal["Ready", "Terminating", "Gone"]
     zone: str = ""
-    type: str = ""
-    group: int = 0
+    type: str = ""  # of its machine
+    group: int = 0  # its cell
     weight: float = 1.0
     since_ms: Annotated[float | None, _meta("Unix time of its latest start; 0: long ago", "ms")] = 0.0
 
@@ -357,8 +357,8 @@
 class Known(Struct, kw_only=True):
     """The saved list of servers."""
 
-    index: int
-    snapshot: bool
+    index: int  # version of the list
+    snapshot: bool  # a full list, not only the changes since an earlier version
     endpoints: list[Endpoint]
 
 
--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -30,7 +30,7 @@
     name: str
     listen: Address
     discovery: Address
-    seed: int  # of the random numbers
+    seed: int  # of the random number generators
     sockets: int  # limit of open file descriptors
     memory_mb: float
     known: Mapping[str, Any]  # the last known list of servers, in discovery's format
@@ -39,7 +39,7 @@
 
 
 def parse_address(text: object) -> Address:
-    """Parses `host:port` with a numeric host; names are not resolved. Raises ValueError."""
+    """Parses `host:port` or `[host]:port`; the host is neither checked nor resolved. Raises ValueError."""
     if not isinstance(text, str):
         raise ValueError(f"not an address: {text!r}")
     host, colon, port = text.rpartition(":")
@@ -55,7 +55,7 @@
 
 
 def flatten_settings(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
-    """Converts the settings object to the simulator's flat path=value pairs, as one parser reads both."""
+    """Converts the settings object to the simulator's flat path=value pairs: one parser reads both forms."""
     pairs = {} if into is None else into
     if isinstance(value, dict):
         for key, item in value.items():
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -28,11 +28,15 @@
 
 log = EventLogger(__name__)
 
-RENEW_AFTER_S = 18.0  # without an answer; then a second watch is opened, as the first may be dead
-# For which discovery may hold a watch; what a dead watch misses counts as notified 2 s after the hold.
+# Time without an answer after which the next call of the watch is made, as the connection may be dead.
+RENEW_AFTER_S = 18.0
+# How long discovery may leave a call of a watch unanswered while nothing changes. A change that a dead watch
+# misses counts as notified 2 s after this time.
 HOLD_MS = 25_000
-CONFIRM_HOLD_MS = 50  # the same while the list is unconfirmed: until an answer comes it may not be used
-CONFIRM_TIMEOUT_S = 3.2  # after which such a call counts as dead; queueing and hold take 2.5 s at most
+# The same while the list is unconfirmed: short, as the lease on the list ends unless an answer renews it.
+CONFIRM_HOLD_MS = 50
+# After which a call with CONFIRM_HOLD_MS counts as dead; its queueing and hold take 2.5 s at most.
+CONFIRM_TIMEOUT_S = 3.2
 CALL_TIMEOUT_S = 4.0  # in addition to the hold of a call; calls wait in the queue of discovery
 MIN_CALL_SPACING_S = 0.05  # between the starts of two calls of a watch, in case each is answered at once
 # Between tries to open a watch on pushed lists; short, as pushed changes count as notified at once.
@@ -40,9 +44,10 @@
 PUSH_RETRY_JITTER = 0.5  # share by which that delay may be shorter, so that proxies don't retry in step
 MAX_READ_DELAY_S = 0.15  # between the sending of an answer and its reading: latency and stalls
 MOVE_RETRY_AFTER_S = 3.5  # after which the first call to a new address counts as dead, not as queued
-MAX_MOVE_TRIES = 15  # of that call, before the failure is reported to the balancer
-VERIFY_DELAY_S = 30.0  # after a move; then a list that could not be compared is checked by a full one
-VERIFY_SPREAD_S = 90.0  # over which the verifications of all proxies are spread
+MAX_MOVE_TRIES = 15  # of the first call to a new address, before the failure is reported to the balancer
+# From the first list of a new address, if it could not be verified, until the full list is requested.
+VERIFY_DELAY_S = 30.0
+VERIFY_SPREAD_S = 90.0  # random part added to this delay, so that the proxies don't request it all at once
 TIMEOUT_JITTER = 0.15  # share by which timeouts of watches may be shorter, so that proxies don't call in step
 
 # Events that affect the lease on the list (see membership/list_lease.py).
@@ -54,7 +59,7 @@
     """A call to discovery."""
 
     started_at: float  # monotonic
-    hold: float = 0.0  # seconds for which discovery may hold it
+    hold: float = 0.0  # seconds for which discovery may leave it unanswered while nothing changes
     continued: bool = False  # it follows the answer of a watch directly, and continues that watch
     previous_unqueued: bool = False  # the answer before it had not waited in the queue of discovery
     since_version: int | None = None  # changes since this version are requested; None: the full list
@@ -93,7 +98,7 @@
         self.last_failure = Failure.SILENT
         self.last_answer_at = -math.inf  # monotonic, of the last list on a watch
         self.last_answer_unqueued = False  # it had not waited in the queue of discovery
-        self.newest_call: DiscoveryCall | None = None  # of a watch
+        self.newest_call: DiscoveryCall | None = None  # of the watch; not a separate request of the full list
         self.confirmed = False  # a list has come since the watch was lost
         self.lists_received = 0
         self._watch_task: asyncio.Task[None] | None = None
@@ -131,13 +136,16 @@
         self.stop()
         self._watch_lost(NOTIFIED_AFTER_MOVE, moved=True)
         self.address, self.moving, self.version = address, True, self.history.version
-        self.last_answer_at = -math.inf  # that was an answer of the old address
+        self.last_answer_at = -math.inf  # the last answer came from the old address
         self.watch(True)
 
     def _watch_lost(
         self, notified_within: float = math.inf, moved: bool = False, silent: bool = False
     ) -> None:
-        """Reports a lost watch; what it misses counts as notified within `notified_within` seconds."""
+        """Reports a lost watch; what it misses counts as notified within `notified_within` seconds.
+
+        `moved`: discovery has a new address. `silent`: the call stays open beside the next one.
+        """
         self.confirmed = False
         self.on_evidence(WatchLost(notified_within, moved, silent))
 
@@ -278,8 +286,9 @@
             if self.moving and not self._continues_history(listing):
                 self.version = None
                 return True
-            # Discovery writes the answer of a continued watch when something changes, and that of another
-            # call when its turn in the queue comes.
+            # Discovery writes the answer of a continued watch when something changes, shortly before it is
+            # read. Any other answer is written when the call's turn in the queue comes: it may be as old as
+            # the call.
             listing.written_after = (
                 max(call.started_at, now - MAX_READ_DELAY_S) if call.continued else call.started_at
             )
--- a/granitepoint/net/discovery_channel.py
+++ b/granitepoint/net/discovery_channel.py
@@ -11,7 +11,7 @@
 from granitepoint.net.config import Address
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 8 << 20  # on the wire, and of the body alone
+MAX_ANSWER_BYTES = 8 << 20  # limit of an answer as received, and of its body alone
 
 
 class Channel(asyncio.Protocol):
@@ -19,11 +19,11 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.answer: asyncio.Future[tuple[int, bytes]] | None = None
+        self.answer: asyncio.Future[tuple[int, bytes]] | None = None  # of the call in progress: code and body
         self.parser: Any = None
         self.body = bytearray()
         self.bytes_received = 0  # of the current answer, on the wire
-        self.request_sent = False  # of the current call; a later failure was caused by discovery, not locally
+        self.request_sent = False  # by the current call; a failure after that is not a LOCAL_ERROR
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -36,8 +36,8 @@
 
 log = EventLogger(__name__)
 
-# An answer is sent at least this long before the caller's deadline. The margin grows with the lag of the
-# event loop, up to the maximum.
+# An answer is sent at least this long before the caller's deadline (less for a short budget, see
+# MAX_MARGIN_SHARE). The margin grows with the lag of the event loop, up to the maximum.
 MIN_ANSWER_MARGIN_S = 0.02
 MAX_ANSWER_MARGIN_S = 0.15
 BALANCER_MARGIN_S = 0.02  # between the balancer's deadline for a call and the driver's later one
@@ -355,7 +355,7 @@
         return call
 
     def retry_after_headers(self, wait: float) -> Headers:
-        """Returns the Retry-After header for `wait` seconds, or nothing where the settings forbid it.
+        """Returns the Retry-After header for `wait` seconds; none if `wait` is 0 or the settings forbid it.
 
         The value is limited to the longest wait that clients respect.
         """
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -39,8 +39,10 @@
     full: bool
     backends: list[ListedBackend]
     written_after: float | None = None  # monotonic; earliest time at which it was written; None: unknown
-    answers_newest_call: bool = True  # of the watch; otherwise that call is still open
-    service_time: float | None = None  # seconds that discovery needed, without its hold; None: unknown
+    # The answered call is the newest one of the watch; if not, the newest one may still be open.
+    answers_newest_call: bool = True
+    # Seconds that discovery needed, without the time for which it held the call; None: unknown.
+    service_time: float | None = None
 
 
 def server_id(name: str) -> int:
@@ -63,23 +65,26 @@
         listing = Listing(
             int(document["index"]), bool(document["snapshot"]), [_read_backend(item) for item in items]
         )
-        named_starts = [
+        unix_starts = [
             (str(item["name"]), float(item.get("since_ms") or 0) / MS_PER_SECOND) for item in items
         ]
-        if not all(math.isfinite(start) for _, start in named_starts):
+        if not all(math.isfinite(start) for _, start in unix_starts):
             raise ValueError("a start time is not finite")
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"malformed list: {error!r}") from None
-    _set_start_times(listing, named_starts, start_times or StartTimes())
+    _set_start_times(listing, unix_starts, start_times or StartTimes())
     return listing
 
 
 def _set_start_times(
-    listing: Listing, named_starts: Sequence[tuple[str, float]], start_times: StartTimes
+    listing: Listing, unix_starts: Sequence[tuple[str, float]], start_times: StartTimes
 ) -> None:
-    """Sets the start times of the listed servers, on the clock of this process."""
-    started = start_times.to_local_times(dict(named_starts), time.monotonic())
-    for (name, _), listed in zip(named_starts, listing.backends, strict=True):
+    """Sets the start times of the listed servers, on the clock of this process.
+
+    `unix_starts`: the name of each listed server, and the Unix time of its start in seconds.
+    """
+    started = start_times.to_local_times(dict(unix_starts), time.monotonic())
+    for (name, _), listed in zip(unix_starts, listing.backends, strict=True):
         listed.entry.started_at = started[name]
         if listed.entry.state is ServerState.GONE:
             start_times.remove(name)
--- a/granitepoint/net/logs.py
+++ b/granitepoint/net/logs.py
@@ -1,7 +1,8 @@
 """Structured logs: one event per line with named values, as logfmt or as JSON.
 
-A logfmt line consists of `key=value` words; a value with blanks, quotes, `=` or control characters is quoted
-as in JSON. Every line starts with `time` (UTC, in milliseconds), `level` and `event`.
+A logfmt line consists of `key=value` words; a value that is empty, or has blanks, quotes, `=` or anything but
+printable ASCII, is quoted as in JSON. Every line starts with `time` (UTC, in milliseconds), `level`, `event`
+and `part` (the last part of the logger's name).
 """
 
 from __future__ import annotations
@@ -140,7 +141,7 @@
 def read_log_options(environ: Mapping[str, str]) -> tuple[Format, int]:
     """Returns the format and level set by EDGE_LOG_FORMAT and EDGE_LOG_LEVEL. Raises ValueError."""
     line_format, level = environ.get("EDGE_LOG_FORMAT") or "text", environ.get("EDGE_LOG_LEVEL") or "info"
-    if line_format not in [each.value for each in Format]:
+    if line_format not in [option.value for option in Format]:
         raise ValueError(f"EDGE_LOG_FORMAT is text or json, not {line_format!r}")
     if level not in ("debug", "info", "warning", "error"):
         raise ValueError(f"EDGE_LOG_LEVEL is debug, info, warning or error, not {level!r}")
--- a/granitepoint/net/server.py
+++ b/granitepoint/net/server.py
@@ -31,8 +31,8 @@
 LARGE_BODY_BYTES = 64 * 1024  # a body above this is large; only max_large_requests are held at once
 MAX_HEAD_BYTES = 32 * 1024  # target and headers of a request
 MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES  # as received, with the framing of chunks
-# Pipelined bytes read while an answer is pending. A request left in the socket beyond this limit gets a later
-# received_at than its real arrival, so its deadline is computed too late.
+# Bytes read while a complete request waits behind the one that is being answered. A request left in the
+# socket beyond this limit gets a later received_at than its real arrival: its deadline is computed too late.
 MAX_READ_AHEAD_BYTES = 16 * 1024
 # From the connect, or from the first byte of a further request, until the request is complete.
 REQUEST_READ_TIMEOUT_S = 2.2
@@ -259,7 +259,8 @@
         if self.transport is not None and not self.closing:
             if not self.pending_requests:
                 self.read_ahead_bytes = 0
-            # This bounds the bodies held by one connection to MAX_READ_AHEAD_BYTES and a single read.
+            # This bounds what one connection holds, beside the request that is being answered and the first
+            # one that waits behind it, to MAX_READ_AHEAD_BYTES and a single read.
             pause = self.write_blocked or self.read_ahead_bytes > MAX_READ_AHEAD_BYTES
             if pause and not self.reading_paused:
                 self.transport.pause_reading()
@@ -282,7 +283,7 @@
                 raise BadRequest(431, "headers too large")
             if self.raw_bytes > MAX_RAW_REQUEST_BYTES:
                 raise BadRequest(413, "the request does not end")
-        except Exception as error:  # from the parser, or wrapped by it if a callback raised it
+        except Exception as error:  # the parser wraps an exception that a callback raised in one of its own
             cause = error if isinstance(error, BadRequest) else error.__context__
             self._reject_input(cause if isinstance(cause, BadRequest) else BadRequest(400, "malformed HTTP"))
         if self.table is self.server.idle and not self.pending_requests:
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -353,12 +353,13 @@
         self.body.append(chunk)
 
     def on_message_complete(self) -> None:
-        """Notes that the answer is complete; a 1xx answer is dropped."""
+        """Records that the answer is complete; drops a 1xx answer, except 101."""
         code = self.parser.get_status_code()
         if 100 <= code < 200 and code != 101:
             self.headers = []  # of an interim answer
         else:
-            self.pending_answer = code, code != 101 and self.parser.should_keep_alive()  # only valid here
+            # should_keep_alive() is only valid within this callback.
+            self.pending_answer = code, code != 101 and self.parser.should_keep_alive()
 
     def start_exchange(self, exchange: Exchange) -> None:
         """Writes the request except for its last byte, which follows after LAST_BYTE_DELAY_S."""
@@ -491,7 +492,7 @@
         self.owner.open_connections -= 1
 
     def close_idle(self, unused_since: float = float("inf")) -> None:
-        """Closes the connections that have been idle since `unused_since` (monotonic) or longer."""
+        """Closes the connections idle since `unused_since` (monotonic) or longer; by default all of them."""
         for connection in [c for c in self.idle if c.idle_since <= unused_since]:
             connection.abandon()
 
@@ -502,7 +503,10 @@
 
 
 class Upstreams:
-    """All backends, with a common limit of connections."""
+    """All backends, with a common limit of connections.
+
+    `conn_idle` is the time in seconds after which a backend closes an idle connection.
+    """
 
     def __init__(
         self,
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 from netkit import ROOT, config, endpoint, listing
 
-from granitepoint.benchlink import REPORT_CHANNELS, WEIGHT_SOURCES
+from granitepoint.benchlink import REPORT_CHANNELS, WEIGHT_MEANINGS
 from granitepoint.cli import schema
 from granitepoint.cli.check import DOUBTFUL, NO_EFFECT, OUT_OF_RANGE, UNKNOWN, check_content
 from granitepoint.interface import Effect, Settings
@@ -117,7 +117,7 @@
 TO_SETTINGS_VALUE: dict[str, Callable[[Any, Any], Any]] = {
     "effect": lambda value, settings: Effect(value),
     "ask_for_list": lambda value, settings: value == "ask",
-    "weights": lambda value, settings: WEIGHT_SOURCES[value],
+    "weights": lambda value, settings: WEIGHT_MEANINGS[value],
     "worth_by_work": lambda value, settings: value == "work",
     "reports": lambda value, settings: REPORT_CHANNELS[value],
     "stages": lambda value, settings: len(value) or settings.stage + 1,
