--- a/granitepoint/faults/clients.py
+++ b/granitepoint/faults/clients.py
@@ -13,7 +13,8 @@
 
 NEW_CONNECTION_SHARE = 0.2  # of the requests
 THINK_TIME_S = (0.01, 0.08)  # minimum and maximum time between an answer and the next request
-ANSWER_WAIT_MARGIN_S = 1.0  # a client waits for the answer until this long after the budget of the request
+# Time after the end of a request's budget at which its client stops waiting for the answer.
+ANSWER_WAIT_MARGIN_S = 1.0
 
 
 @dataclass(slots=True)
@@ -27,7 +28,7 @@
     budget: float  # seconds that the client allows for the answer
     code: int = 0  # HTTP status of the answer; 0: none
     ended_at: float = 0.0
-    error: str = ""  # type of the exception that ended a request without an answer
+    error: str = ""  # type of the exception that ended a request without an answer; empty: none
     new_connection: bool = True  # sent on a connection that was opened for it
 
 
@@ -35,7 +36,7 @@
 class RequestTemplate:
     """What a client sends for one class of requests."""
 
-    name: str
+    class_name: str
     method: str
     has_idempotency_key: bool
     budget: float  # seconds
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class Clients:
-    """A number of clients of one proxy. They run until `stopped` is set."""
+    """Several clients of one proxy. They run until `stopped` is set."""
 
     proxy_name: str
     address: tuple[str, int]
@@ -52,7 +53,8 @@
     requests: list[Request] = field(default_factory=list)
     next_call_number: Callable[[], int] = field(default_factory=lambda: count(1).__next__)
     stopped: bool = False
-    # False while the proxy shuts down: a front end that was told of the shutdown opens no new connections.
+    # False from shortly after the proxy's SIGTERM until it is ready again. The clients stand for a front end,
+    # which learns of the shutdown after a moment and then opens no new connections.
     opens_connections: bool = True
 
     async def run(self, client_count: int) -> None:
@@ -76,7 +78,7 @@
             connection.abort()
 
     async def _send_request(self, connection: HttpConnection | None) -> HttpConnection | None:
-        """Sends a request and records it; returns the connection if it is still open."""
+        """Sends a request and records it; returns its connection, or None without an answer."""
         template = self.random.choice(self.templates)
         call_id = f"{self.next_call_number():016x}"
         new_connection = connection is None
@@ -88,7 +90,7 @@
             return None  # the proxy never accepted it, so no request is recorded
         request = Request(
             call_id,
-            template.name,
+            template.class_name,
             self.proxy_name,
             time.monotonic(),
             template.budget,
@@ -107,8 +109,8 @@
 
 
 def encode_request(template: RequestTemplate, call_id: str) -> bytes:
-    """Encodes a request as PROTOCOL describes it."""
-    lines = [f"{template.method} /{template.name} HTTP/1.1", "Host: service", f"X-Call-Id: {call_id}"]
+    """Encodes a request as the protocol specification (PROTOCOL) describes it."""
+    lines = [f"{template.method} /{template.class_name} HTTP/1.1", "Host: service", f"X-Call-Id: {call_id}"]
     lines.append(f"X-Budget: {template.budget * 1e3:.0f}m")
     if template.has_idempotency_key:
         lines.append(f"Idempotency-Key: k{call_id}")
--- a/granitepoint/faults/command.py
+++ b/granitepoint/faults/command.py
@@ -11,7 +11,7 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Parses one seed (`3`) or a range (`1-50`). Raises ValueError if that is no seed or an empty range."""
+    """Parses one seed (`3`) or a range (`1-50`). Raises ValueError for other texts and empty ranges."""
     first, _, last = text.partition("-")
     seeds = list(range(int(first), int(last or first) + 1))
     if not seeds:
--- a/granitepoint/faults/discovery.py
+++ b/granitepoint/faults/discovery.py
@@ -1,7 +1,8 @@
-"""A discovery service that fails on command, and records from which each change counts as notified.
+"""A discovery service that fails on command, and computes when each change counts as notified to a proxy.
 
-Each proxy calls it at an address of its own (an endpoint), which tells whose call it is. The protocol is the
-one that PROTOCOL describes: full lists, and watches that are held until something changes.
+From that time on, the rules require that the proxy complies with the change, even if it never received it.
+Each proxy calls discovery at an address of its own (an endpoint), which tells whose call it is. The protocol
+specification (PROTOCOL) describes the calls: full lists, and watches that are held until something changes.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 NOTIFIED_AFTER_MOVE = 4.0
 # Seconds after the end of its hold from which everything that a silent watch missed counts as notified.
 NOTIFIED_AFTER_HOLD = 2.0
-MAX_HOLD = 60.0  # seconds
+MAX_HOLD = 60.0  # seconds; a watch is held no longer, whatever the proxy asks for
 
 
 class Mode(Enum):
@@ -51,8 +52,8 @@
     status: str = "Ready"  # Ready, Terminating or Gone
     since_ms: int = 0
     zone: str = "a"
-    type: str = "m"
-    group: int = 0
+    type: str = "m"  # kind of server
+    group: int = 0  # cell
     weight: float = 1.0
 
 
@@ -90,7 +91,7 @@
 
     @property
     def address(self) -> str:
-        """Host and port."""
+        """Host and port, as "host:port"."""
         return self.listener.address
 
     def on_connect(self, peer: Peer) -> None:
@@ -151,7 +152,9 @@
     """The discovery service of all proxies, with the history of its changes and modes."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
-    calls_per_s: float = math.inf  # capacity; a call that fails in the queue uses its share of it as well
+    # Capacity in mode ANSWERING. A call that waits in the queue for too long and gets 503 takes as much of it
+    # as an answered one.
+    calls_per_s: float = math.inf
     version: int = 1
     mode: Mode = Mode.ANSWERING
     changes: list[Change] = field(default_factory=list)
@@ -271,9 +274,12 @@
     def notified_at(self, endpoint: DiscoveryEndpoint, change: Change) -> float:
         """Returns the monotonic time from which a change counts as notified to the proxy of an endpoint.
 
-        That is independent of whether the proxy's calls were answered. Infinity: not notified so far.
+        That is the first of three times: a list with the change was sent there; discovery has been reachable
+        for NOTIFIED_AFTER, or for longer if a silent watch missed the change; NOTIFIED_AFTER_MOVE has passed
+        since the proxy was moved to this address. The last two don't depend on whether the proxy's calls were
+        answered. Infinity: not notified so far.
         """
-        sent = [at for at, version in endpoint.sent_versions if version >= change.version]
+        sent_times = [at for at, version in endpoint.sent_versions if version >= change.version]
         notified_at = self.reachable_from(change.made_at) + NOTIFIED_AFTER
         for watch, silent_since in endpoint.silent_watches.values():
             missed = silent_since <= change.made_at
@@ -285,4 +291,4 @@
                 )
         if change.made_at <= endpoint.moved_at + NOTIFIED_AFTER_MOVE:
             notified_at = min(notified_at, endpoint.moved_at + NOTIFIED_AFTER_MOVE)
-        return min([notified_at, *sent])
+        return min([notified_at, *sent_times])
--- a/granitepoint/faults/process.py
+++ b/granitepoint/faults/process.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).parent.parent.parent
+REPOSITORY_ROOT = Path(__file__).parent.parent.parent
 
 
 def reserve_address() -> tuple[socket.socket, str]:
@@ -35,7 +35,7 @@
     name: str
     folder: Path
     config: dict[str, Any]
-    environment: Mapping[str, str] = field(default_factory=dict)
+    environment: Mapping[str, str] = field(default_factory=dict)  # added to that of this process
     process: asyncio.subprocess.Process | None = None
     started_at: float = 0.0  # monotonic, in seconds
     ready_at: float = 0.0  # monotonic, in seconds
@@ -69,7 +69,7 @@
         self.started_at, self.ready_at = time.monotonic(), 0.0
         with self.log_path.open("ab") as log_file:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "granitepoint", cwd=ROOT, env=environment, stderr=log_file
+                sys.executable, "-m", "granitepoint", cwd=REPOSITORY_ROOT, env=environment, stderr=log_file
             )
 
     async def wait_until_ready(self, timeout: float) -> None:
--- a/granitepoint/faults/rig.py
+++ b/granitepoint/faults/rig.py
@@ -1,4 +1,4 @@
-"""Runs real proxies between stand-ins: starts them, sends requests through them and keeps all records."""
+"""Runs real proxies with test clients, test servers and a test discovery service, and keeps all records."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 
 READY_TIMEOUT_S = 20.0
 NEW_CONNECTIONS_S = 0.3  # time after SIGTERM during which clients still open connections
-# SIGKILL follows SIGTERM after the longest deadline of a class, capped by this maximum, plus this delay.
+# Time from SIGTERM to SIGKILL: the longest deadline of a class, but at most SHUTDOWN_MAX_DEADLINE_S, plus
+# SHUTDOWN_KILL_DELAY_S.
 SHUTDOWN_MAX_DEADLINE_S, SHUTDOWN_KILL_DELAY_S = 3.0, 0.7
 # Time after SIGKILL during which a client may still send a request to the killed process.
 KILL_DETECTION_S = 0.1
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True)
 class SoakHarness:
-    """The proxies, stand-ins, clients and records of one run."""
+    """The proxies, servers, discovery service, clients and records of one run."""
 
     folder: Path
     random: Random
@@ -74,7 +75,10 @@
         return server
 
     async def add_proxy(self, environment: Mapping[str, str] | None = None) -> ProxyProcess:
-        """Starts one more proxy. Its configuration has the current list as the last list that it knew."""
+        """Starts one more proxy.
+
+        Its configuration holds the current list, for use until discovery answers.
+        """
         number = len(self.proxies)
         endpoint = self.discovery.add_endpoint()
         settings = {**self.settings, "me": number, "balancers": max(1, self.settings["balancers"])}
@@ -97,14 +101,15 @@
     async def restart(self, proxy: ProxyProcess, delay: float = 0.3) -> None:
         """Kills a proxy without warning and starts it again `delay` seconds after the kill is complete.
 
-        Its calls in progress are exempt from the rules. The new process knows the list of the first start.
+        Its calls in progress are exempt from the rule on answers. The configuration of the new process still
+        holds the list from when the proxy was added.
         """
         await self.kill(proxy)
         await asyncio.sleep(delay)
         await self.start_new_process(proxy)
 
     async def kill(self, proxy: ProxyProcess) -> None:
-        """Kills a proxy, and exempts the calls that are lost by that from the rules."""
+        """Kills a proxy, and exempts the calls that are lost by that from the rule on answers."""
         killed_at = time.monotonic()
         await proxy.kill()
         await asyncio.sleep(KILL_DETECTION_S)
@@ -196,7 +201,7 @@
         )
 
     async def close(self) -> None:
-        """Stops the clients, the proxies and the stand-ins."""
+        """Stops the clients, the proxies, discovery and the servers."""
         for clients in self.clients:
             clients.stopped = True
         for proxy in self.proxies:
--- a/granitepoint/faults/rules.py
+++ b/granitepoint/faults/rules.py
@@ -10,7 +10,7 @@
 from granitepoint.faults.discovery import Change, Discovery, DiscoveryEndpoint
 from granitepoint.faults.servers import MAX_LAST_BYTE_DELAY_S, Attempt
 
-SOCKET_TOLERANCE_S = 0.05  # added to every limit, because the proxies run on real sockets
+SOCKET_TOLERANCE_S = 0.05  # added to the drain limit, because the proxies run on real sockets
 BUDGET_TOLERANCE_S = 0.15  # by which the budget sent to a server may exceed what the client has left
 ANSWER_TOLERANCE_S = 0.5  # after the budget of a request; without a final answer by then it counts as lost
 REFUSAL_CODES = (429, 503)
@@ -35,7 +35,8 @@
     requests: Sequence[Request]
     non_repeatable_classes: frozenset[str]
     drain_grace: float  # seconds
-    exempt_calls: frozenset[str] = frozenset()  # ids of calls in progress when their proxy was killed
+    # Ids of calls in progress when their proxy was killed: they need no answer.
+    exempt_calls: frozenset[str] = frozenset()
 
 
 def check(records: Records) -> list[Violation]:
@@ -50,27 +51,31 @@
 
 
 def _check_drain(records: Records, requests_by_id: Mapping[str, Request]) -> Iterable[Violation]:
-    """A server gets no new attempts once its departure has counted as notified for the drain grace."""
+    """A server that leaves gets no new attempts from a proxy after the drain grace.
+
+    The grace starts when the departure counts as notified to that proxy.
+    """
     departures: dict[str, Change] = {}
     for change in records.discovery.changes:
         for entry in change.entries:
             if entry.status != "Ready":
                 departures.setdefault(entry.name, change)
-    notified: dict[tuple[str, int], float] = {}
+    # By proxy and version of the departure: the time from which it counts as notified.
+    notified_times: dict[tuple[str, int], float] = {}
     for attempt in records.attempts:
         departure, request = departures.get(attempt.server), requests_by_id.get(attempt.call_id)
         if departure is None or request is None:
             continue
         key = request.proxy_name, departure.version
-        if key not in notified:
-            notified[key] = min(
+        if key not in notified_times:
+            notified_times[key] = min(
                 records.discovery.notified_at(endpoint, departure)
                 for endpoint in records.endpoints[request.proxy_name]
             )
         overrun = (
             attempt.received_at
             - MAX_LAST_BYTE_DELAY_S
-            - notified[key]
+            - notified_times[key]
             - records.drain_grace
             - SOCKET_TOLERANCE_S
         )
@@ -80,7 +85,11 @@
 
 
 def _check_answers(records: Records) -> Iterable[Violation]:
-    """Each request that a proxy accepted gets its final answer in time."""
+    """Each request that a proxy accepted gets its final answer in time.
+
+    A ConnectionError on a reused connection is no violation: the proxy may have closed the connection
+    before the request reached it.
+    """
     for request in records.requests:
         if request.call_id in records.exempt_calls:
             continue
@@ -106,7 +115,7 @@
 
 
 def _check_budgets(attempts: Sequence[Attempt], requests_by_id: Mapping[str, Request]) -> Iterable[Violation]:
-    """The budget sent to a server is at most the time that the client has left."""
+    """The budget sent to a server is at most the time that the client has left, plus a tolerance."""
     for attempt in attempts:
         request = requests_by_id.get(attempt.call_id)
         if request is not None:
--- a/granitepoint/faults/servers.py
+++ b/granitepoint/faults/servers.py
@@ -9,7 +9,9 @@
 
 from granitepoint.fleet.wire import Listener, Message, Peer
 
-MAX_LAST_BYTE_DELAY_S = 0.003  # between the first and the last byte of an attempt on an open connection
+# Maximum time between the first and the last byte of an attempt on an open connection: the proxy sends the
+# last byte separately, and the time of the attempt is that of its last byte.
+MAX_LAST_BYTE_DELAY_S = 0.003
 
 
 @dataclass(slots=True)
@@ -39,7 +41,7 @@
 
     @property
     def address(self) -> str:
-        """Host and port."""
+        """Host and port, as "host:port"."""
         return self.listener.address
 
     def on_connect(self, peer: Peer) -> None:
--- a/granitepoint/faults/soak.py
+++ b/granitepoint/faults/soak.py
@@ -39,7 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """A fault that is injected `at` seconds after the start of the clients."""
+    """A fault that is injected `at` seconds after the start of the clients.
+
+    discovery: its mode and capacity change. leave: a server leaves with this status. restart: a proxy is
+    killed and started again. terminate: it is restarted gracefully. reload: it gets a new address of
+    discovery. hold: it is suspended for SUSPENSION_S.
+    """
 
     at: float
     kind: str  # discovery, leave, restart, terminate, reload or hold
@@ -71,7 +76,7 @@
     served: int = 0
     refused: int = 0
     failed: int = 0
-    injected: dict[str, int] = field(default_factory=dict)  # number of failed system calls by call and errno
+    injected: dict[str, int] = field(default_factory=dict)  # number of faults by system call and fault
     violations: list[Violation] = field(default_factory=list)
 
     @property
@@ -91,7 +96,7 @@
         mode = random.choice(list(Mode))
         calls_per_s = random.choice([1000.0, 4.0 * proxies, 1.0 * proxies])
         faults.append(ScheduledFault(at, "discovery", mode=mode, calls_per_s=calls_per_s))
-        # Notification is least certain for a server that leaves close to a change of the mode.
+        # A proxy is most likely to miss the departure of a server close to a change of discovery's mode.
         if random.random() < 0.6:
             server = f"s-{random.randrange(servers - 2):04x}"
             status = random.choice(["Gone", "Terminating"])
--- a/granitepoint/faults/syscalls.c
+++ b/granitepoint/faults/syscalls.c
@@ -4,7 +4,8 @@
  * between `from` and `until`, in seconds after the start of the process. Calls: accept, socket, connect,
  * read, write, epoll, hold, clock. Faults: the name of an errno; `short` for read and write, which then
  * transfer 1 to 3 bytes; for hold the seconds by which a call that reads the monotonic clock is delayed; for
- * clock the seconds by which the wall clock is stepped, from `from` on and whatever `share` and `until` are.
+ * clock the whole seconds by which the wall clock is stepped, from `from` on and whatever `share` and `until`
+ * are.
  *
  * FAULTS_SEED seeds the random generator. FAULTS_COUNTS names a file that gets the number of faults of each
  * rule as 64-bit integers, in the order of the plan. Of the socket calls only those on IPv4 sockets fail.
@@ -56,10 +57,10 @@
 static struct rule rules[MAX_RULES];
 static int rule_count;
 static uint64_t *fault_counts;
-static uint64_t private_counts[MAX_RULES];
+static uint64_t private_counts[MAX_RULES]; /* used without a FAULTS_COUNTS file */
 static uint64_t random_state = 88172645463325252ULL;
 static struct timespec process_start;
-static unsigned char is_ipv4[MAX_DESCRIPTORS];
+static unsigned char is_ipv4[MAX_DESCRIPTORS]; /* by file descriptor */
 static int initialized;
 
 /* Looks up the function that this library replaces, as `real`. */
@@ -137,7 +138,7 @@
     return (double)(random_state >> 11) / 9007199254740992.0;
 }
 
-/* Returns the rule that makes this call fail, after counting it, or NULL. */
+/* Returns the rule that applies to this call, after counting it, or NULL. */
 static struct rule *applying_rule(enum kind kind)
 {
     double now = -1;
--- a/granitepoint/faults/syscalls.py
+++ b/granitepoint/faults/syscalls.py
@@ -11,17 +11,19 @@
 
 SOURCE = Path(__file__).with_name("syscalls.c")
 MAX_RULES = 32  # in a plan; the same constant as in syscalls.c
-COUNTS_FORMAT = struct.Struct(f"={MAX_RULES}Q")  # of the file that FAULTS_COUNTS names
+# The file that FAULTS_COUNTS names holds the number of faults of each rule, as 64-bit integers.
+COUNTS_FORMAT = struct.Struct(f"={MAX_RULES}Q")
 
 
 @dataclass(frozen=True, slots=True)
 class SyscallFault:
     """One rule of a plan.
 
-    `call` is accept, socket, connect, read, write, epoll, hold or clock. `fault` is the name of an errno,
-    `short`, or the seconds of a hold or of a step of the wall clock. `share` of the calls between `start` and
-    `end` fail; both are in seconds after the start of the process. A step of the clock always happens, and
-    lasts from `start` on.
+    `call` is accept, socket, connect, read, write, epoll (the wait for events), hold (a delay of calls that
+    read the monotonic clock) or clock (a step of the wall clock). `fault` is the name of an errno, `short`
+    (a read or write of 1 to 3 bytes), the seconds of the delay, or the whole seconds of the step. `share` of
+    the calls between `start` and `end` fail; both are in seconds after the start of the process. A step of
+    the clock happens at `start` and lasts, whatever `share` and `end` are.
     """
 
     call: str
@@ -75,7 +77,7 @@
 
 
 def injected_counts(plan: Sequence[SyscallFault], counts_path: Path) -> dict[SyscallFault, int]:
-    """Reads how often each rule of a plan made a call fail."""
+    """Reads how often each rule of a plan was applied to a call."""
     raw = counts_path.read_bytes() if counts_path.exists() else bytes(COUNTS_FORMAT.size)
     return dict(
         zip(
--- a/granitepoint/faults/turns.py
+++ b/granitepoint/faults/turns.py
@@ -1,8 +1,9 @@
 """Simulates a fleet of proxies that call one discovery service, which handles its calls one after another.
 
 The clients of discovery and the balancers are the real ones; the service, its queue and the clock are models.
-The time that a call takes grows with the number of entries in its answer. A watch that continues an answered
-one takes none while nothing has changed. Calls that would wait in the queue for too long are rejected.
+The time that a call takes grows with the number of entries in its answer. A call that follows the answer to a
+watch within MAX_WATCH_GAP, at the same address, continues that watch: it skips the queue while nothing has
+changed. Calls that would wait in the queue for too long are rejected.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 from granitepoint.net import discovery as net
 from granitepoint.net.listing import Listing
 
-CALL_COST_LINES = 44  # a call without entries takes as long as this many entries of a list
+CALL_COST_ENTRIES = 44  # fixed cost of a call: the time in which this many entries of a list are handled
 # A call that would be queued for longer is rejected. During an outage each call fails after this time.
 MAX_QUEUE_TIME_S = 2.0
-REJECTION_DELAY_S = 0.008
+REJECTION_DELAY_S = 0.008  # until a rejected call gets its answer 503
 MIN_WAIT_S = 1e-6  # a shorter wait may not advance the simulated clock
-TICK_S = 0.2  # interval at which each instance is checked
+TICK_S = 0.2  # interval at which the timer of each instance fires and its list is checked
 SERVER_COUNT = 57  # servers in the full list
 FIRST_ADDRESS, SECOND_ADDRESS = ("10.0.0.1", 8500), ("10.0.0.2", 8500)
 STAGE_COUNT = 3
@@ -69,7 +70,7 @@
 class DiscoveryService:
     """Discovery with one queue for all calls. Times are in seconds."""
 
-    line_time: float  # to handle one entry of a list
+    time_per_entry: float  # to handle one entry of a list
     outage: tuple[float, float] = (math.inf, math.inf)  # its start and end
     version: int = 0
     changed_servers: dict[int, int] = field(default_factory=dict)  # the server that each version changed
@@ -117,8 +118,8 @@
                 self.rejected_calls += 1
                 await asyncio.sleep(REJECTION_DELAY_S)
                 return SERVICE_UNAVAILABLE, b""
-            self.queue_free_at = max(started_at, self.queue_free_at) + self.line_time * (
-                CALL_COST_LINES + len(self.servers_since(since_version))
+            self.queue_free_at = max(started_at, self.queue_free_at) + self.time_per_entry * (
+                CALL_COST_ENTRIES + len(self.servers_since(since_version))
             )
             await asyncio.sleep(self.queue_free_at - started_at)
         while since_version == self.version and not self.is_down(loop.time()):
@@ -149,7 +150,7 @@
         self.last_watch: tuple[Any, float] = (None, -math.inf)  # its address, and the time of its answer
 
     def close(self) -> None:
-        """Forgets the last watch: the next call does not continue it."""
+        """Discards the last watch: the next call does not continue it."""
         self.last_watch = (None, -math.inf)
 
     async def get(self, address: Any, request_target: str, timeout: float) -> tuple[int, bytes]:
@@ -174,11 +175,11 @@
     """The client of discovery and the balancer of one proxy. Times are in seconds."""
 
     number: int
-    instances: int
+    instance_count: int  # of the whole fleet
     seed: int
     list_waits: list[float] = field(
         default_factory=list
-    )  # from each start or move to the first list after it
+    )  # from each start, move or end of an outage to the first list after it
     time_without_list: float = 0.0  # total time during which it had no list that it could use
     longest_without_list: float = 0.0  # longest such period
     list_awaited_since: float | None = None
@@ -191,14 +192,15 @@
         now = asyncio.get_running_loop().time()
         cls = api.RequestClass("read", worth=1, aim=0.2, deadline=0.5, late_worth=0.5)
         settings = api.Settings(
-            classes=[cls], zone="a", balancers=self.instances // STAGE_COUNT, stages=STAGE_COUNT,
-            stage=self.number % STAGE_COUNT, me=self.number // STAGE_COUNT, ask_for_list=True, notified_after=NOTIFIED_AFTER,
+            classes=[cls], zone="a", balancers=self.instance_count // STAGE_COUNT, stages=STAGE_COUNT,
+            stage=self.number % STAGE_COUNT, me=self.number // STAGE_COUNT, ask_for_list=True,
+            notified_after=NOTIFIED_AFTER,
         )  # fmt: skip
         self.seed += 1
         self.balancer = Balancer(settings, self.seed)
         self.discovery = net.DiscoveryClient(
             FIRST_ADDRESS, 0, self._on_list, self._on_failed, Random(self.seed), on_evidence=self._handle,
-            instances=self.instances,
+            instances=self.instance_count,
         )  # fmt: skip
         self.list_awaited_since = now
         entry = api.ServerEntry(1, zone="a", cell=0)
@@ -270,7 +272,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What was measured. Times are in seconds; waits are those for the first list after a start or a move."""
+    """What was measured. Times are in seconds.
+
+    A wait is that for the first list after a start, a move or the end of an outage.
+    """
 
     median_wait: float
     last_wait: float
@@ -301,7 +306,7 @@
 def play(day: Day) -> Result:
     """Simulates a day of a whole fleet. The same arguments give the same result."""
     loop = SimulatedLoop()
-    service = DiscoveryService(day.round_length / day.proxies / CALL_COST_LINES, day.outage)
+    service = DiscoveryService(day.round_length / day.proxies / CALL_COST_ENTRIES, day.outage)
     try:
         with _simulated_network(loop, service):
             return loop.run_until_complete(_play(day, service))
@@ -330,14 +335,14 @@
             at = day.move_at + MOVE_ROUND_SHARE * day.round_length * index / day.proxies
             loop.call_at(at, instance.move, SECOND_ADDRESS)
     await asyncio.sleep(WARM_UP_S)
-    rejected_before = service.rejected_calls
+    rejected_in_warm_up = service.rejected_calls
     for instance in fleet:
         instance.list_waits, instance.time_without_list, instance.longest_without_list = [], 0.0, 0.0
     await asyncio.sleep(day.end - WARM_UP_S)
     waits = [wait for instance in fleet for wait in instance.list_waits]
     result = Result(
         median(waits) if waits else math.nan, max(waits, default=math.nan),
-        service.rejected_calls - rejected_before,
+        service.rejected_calls - rejected_in_warm_up,
         sum(instance.time_without_list for instance in fleet),
         max(instance.longest_without_list for instance in fleet),
         sum(instance.list_awaited_since is not None for instance in fleet),
--- a/granitepoint/modelcheck/__main__.py
+++ b/granitepoint/modelcheck/__main__.py
@@ -9,7 +9,8 @@
 
 from granitepoint.modelcheck.check import CHECKS, CounterexampleFound, check
 
-# Examples that share one seed. hypothesis keeps some hundred KB of each until the run is over.
+# A check with more examples is split into several runs of hypothesis, each with a seed of its own: hypothesis
+# keeps some hundred KB of each example until the run is over.
 MAX_EXAMPLES_PER_RUN = 500
 
 
--- a/granitepoint/modelcheck/check.py
+++ b/granitepoint/modelcheck/check.py
@@ -46,7 +46,7 @@
 def format_as_test(machine: MachineClass, notes: list[str]) -> str:
     """Converts the steps that hypothesis reports into the code of a test function.
 
-    Returns the notes unchanged if they hold no steps.
+    `notes` are those that hypothesis adds to the exception. Returns them unchanged if they hold no steps.
     """
     text = "\n".join(notes)
     steps = text.partition("Falsifying example:\n")[2].partition("\nExplanation:")[0].strip()
--- a/granitepoint/modelcheck/cold.py
+++ b/granitepoint/modelcheck/cold.py
@@ -20,7 +20,7 @@
 
 
 class ColdStartMachine(RuleBasedStateMachine):
-    """Checks that all instances together keep to the budget of each cold server."""
+    """Checks that all instances together send each cold server no more calls than ColdBudget allows."""
 
     balancer_factory: ClassVar[BalancerFactory] = Balancer
     statistics: ClassVar[Counter[str] | None] = None  # counters of what was run
@@ -65,7 +65,7 @@
         self.fleet.run(warm_up)
 
     def server_at(self, which: int) -> int:
-        """Returns the id of a server."""
+        """Returns the id of the server that `which` selects."""
         return 1 + which % len(self.fleet.servers)
 
     @rule(time_span=st.sampled_from([0.5, 2.0, 4.0]))
@@ -133,7 +133,7 @@
         """Adds the counters of this example to the statistics."""
         if self.statistics is None or not hasattr(self, "fleet"):
             return
-        cold_starts = [*self.fleet.ended_starts, *self.fleet.cold_starts.values()]
+        cold_starts = [*self.fleet.earlier_starts, *self.fleet.cold_starts.values()]
         max_usage = max((self.fleet.budget_rule.peak_usage(start)[0] for start in cold_starts), default=0.0)
         sends = sum(len(start.sends) for start in cold_starts)
         self.statistics.update(
--- a/granitepoint/modelcheck/draw.py
+++ b/granitepoint/modelcheck/draw.py
@@ -11,7 +11,8 @@
 CLASS_NAMES = ("order", "pay", "read", "feed")
 ZONES = ("a", "b", "c")
 MAX_SERVERS = 9  # server ids are 1 to 9
-DURATIONS = (0.0, 0.001, 0.005, 0.01, 0.03, 0.05, 0.1, 0.3, 1.0, 2.5)  # s
+# Seconds that pass in one step of a state machine.
+DURATIONS = (0.0, 0.001, 0.005, 0.01, 0.03, 0.05, 0.1, 0.3, 1.0, 2.5)
 
 request_classes = st.builds(
     RequestClass,
--- a/granitepoint/modelcheck/endings.py
+++ b/granitepoint/modelcheck/endings.py
@@ -21,7 +21,7 @@
     "endless header": b"GET /read HTTP/1.1\r\nX: " + b"a" * 40000,
     "blank line": b"\r\n",
 }
-# Seconds.
+# Seconds, until a scheduled action and for which time passes.
 DELAYS = [0.0, 0.001, 0.0015, 0.004, 0.02, 0.3]
 DURATIONS = [0.0, 0.001, 0.003, 0.05, 0.3, 1.0, 3.5]
 
@@ -228,12 +228,14 @@
             return
         body = f"done {request_id}".encode()
         self.model.served_bodies.setdefault(request_id, set()).add(body)
-        ok = build_answer(200, body)
+        ok_answer = build_answer(200, body)
         if variant == "rejected":
             self.model.on_attempts_rejected(backend)
         backend.send_answer({
-            "ok": ok, "error": build_answer(500, b"no"), "rejected": build_answer(503, b"", "X-Rejected: 1"),
-            "ok and more": ok + b"x", "twice": ok + ok, "half": ok[:-3], "garbage": b"\x00\x01\r\n\r\n",
+            "ok": ok_answer, "error": build_answer(500, b"no"),
+            "rejected": build_answer(503, b"", "X-Rejected: 1"),
+            "ok and more": ok_answer + b"x", "twice": ok_answer + ok_answer, "half": ok_answer[:-3],
+            "garbage": b"\x00\x01\r\n\r\n",
             "until close": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
             "ok, close": build_answer(200, body, "Connection: close"),
         }[variant])  # fmt: skip
@@ -296,7 +298,7 @@
 
     @rule(delay=st.sampled_from([0.0, 0.03, 0.2]), rounds=st.integers(1, 3))
     def serve(self, delay: float, rounds: int) -> None:
-        """Lets the backends answer all requests that they hold, in several rounds."""
+        """Lets time pass and the backends answer all requests that they hold, both `rounds` times."""
         for _ in range(rounds):
             self.run(delay)
             for backend in self.model.backend_connections:
@@ -319,7 +321,7 @@
     @precondition(lambda self: self.model.shutdown_task is None)
     @rule(choice=st.integers(0, 2))
     def terminate(self, choice: int) -> None:
-        """Sends SIGTERM in one of three draws, so that most examples run on without it."""
+        """Starts a graceful shutdown for one of three values, so that most examples run on without it."""
         if choice == 2:
             self.model.terminate()
             self.run(0.0)
--- a/granitepoint/modelcheck/fleet.py
+++ b/granitepoint/modelcheck/fleet.py
@@ -31,15 +31,15 @@
 )
 from granitepoint.modelcheck.world import BalancerFactory, RuleViolation
 
-IMMEDIATE_FAILURE_TIME = 0.005  # s until an attempt fails that is not a timeout
+IMMEDIATE_FAILURE_TIME = 0.005  # s until an attempt ends that fails in another way than by a timeout
 DEFAULT_MAX_LIST_DELAY = 0.3  # s until the last instance has a list, unless a rule delays lists further
 
 
 @dataclass(slots=True)
 class ColdStart:
-    """A server's cold start and the attempts sent to the server since then.
+    """A server's cold start and the attempts sent to the server since then, but for failed connects.
 
-    A send is its time and whether the sending instance had been notified of the start.
+    An element of `sends` is the time and whether the sending instance had been notified of the start.
     """
 
     server: int
@@ -147,12 +147,12 @@
         self.stalled_until = [0.0] * instance_count
         # Per instance: the start time of each server, as far as the instance was notified of it.
         self.known_starts: list[dict[int, float]] = [{} for _ in range(instance_count)]
-        # Per instance: the server of each attempt, by call and number.
+        # Per instance: the server of each attempt, by call and number of the attempt.
         self.attempts_in_flight: list[dict[tuple[int, int], int]] = [{} for _ in range(instance_count)]
         # Per instance: the number of attempts of each call so far.
         self.attempts_sent: list[dict[int, int]] = [{} for _ in range(instance_count)]
-        self.cold_starts: dict[int, ColdStart] = {}
-        self.ended_starts: list[ColdStart] = []
+        self.cold_starts: dict[int, ColdStart] = {}  # the last one of each server that restarted
+        self.earlier_starts: list[ColdStart] = []  # of servers that have restarted again since
         # Time, tie breaker, instance, its generation, and a function that makes the event.
         self.event_queue: list[tuple[float, int, int, int, Callable[[], Event | None]]] = []
         for instance in range(instance_count):
@@ -185,7 +185,7 @@
         simulated = self.servers[server]
         simulated.started_at, simulated.completion_times = self.now, []
         if server in self.cold_starts:
-            self.ended_starts.append(self.cold_starts.pop(server))
+            self.earlier_starts.append(self.cold_starts.pop(server))
         self.cold_starts[server] = ColdStart(server, self.now)
         self.publish_list([server])
 
@@ -245,7 +245,7 @@
         )
 
     def run(self, time_span: float) -> None:
-        """Lets time pass, in seconds, and checks the budgets of the current cold starts.
+        """Lets time pass, in seconds, and checks the budget of each server's last cold start.
 
         Raises RuleViolation if a budget is exceeded.
         """
--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -32,7 +32,7 @@
 from granitepoint.modelcheck.rules import RULES
 from granitepoint.modelcheck.world import Attempt, BalancerFactory, Call, Rule, World
 
-# Initial concurrency limits, spread so that few steps reach the whole range.
+# Initial concurrency limits: far apart, so that runs of few steps cover the whole range.
 CONCURRENCY_LIMITS = (1.0, 4.0, 30.0)
 
 
@@ -120,7 +120,7 @@
     @precondition(lambda self: self.last_id > 0)
     @rule(which=st.integers(0, 99), class_index=st.integers(0, 3))
     def arrive_again(self, which: int, class_index: int) -> None:
-        """Lets a request with an id arrive that was used before, which is no new request."""
+        """Lets a request arrive with an id that was used before, so that it is no new request."""
         classes = self.world.settings.classes
         self.world.add_arrival(
             Arrival(1 + which % self.last_id, classes[class_index % len(classes)].name, 1.0)
@@ -194,7 +194,12 @@
         kind=st.integers(0, 4),
     )
     def stray_event(self, id: int, attempt: int, status: Status, kind: int) -> None:
-        """Adds an event about a call, attempt, timer or probe that has ended or never existed."""
+        """Adds an event about a call, attempt, timer or probe that has ended or never existed.
+
+        `kind` is 0 for an outcome, 1 for the start of a stream, 2 for a client that disconnects, 3 for a
+        timer and 4 for the result of a probe. Only for the first three it is checked that nothing with this
+        id is in progress: a timer may fire early, and a probe may get a second result.
+        """
         call = self.world.calls.get(id)
         known = call is not None and any(a.number == attempt and a.status is None for a in call.attempts)
         if kind == 0 and not known:
@@ -216,7 +221,7 @@
     def receive_list(self, kind: ListKind, list_entries: list[draw.EntryParameters], calls: int) -> None:
         """Adds a server list, and calls that arrive in the same batch.
 
-        A full list holds all servers in their initial state, except for those in `list_entries`.
+        A full or saved list holds all servers in their initial state, except for those in `list_entries`.
         """
         changed = {
             parameters[0]: draw.server_entry(
--- a/granitepoint/modelcheck/proxy.py
+++ b/granitepoint/modelcheck/proxy.py
@@ -20,7 +20,8 @@
 from granitepoint.net.listing import read_listing
 
 UNUSED_ADDRESS = ("10.9.9.9", 9)
-RELEASE_GRACE_S = 0.02  # a connection may be idle for this long before it counts as unused
+# At the exit, a connection to a backend may be neither in use nor pooled for this long after its last answer.
+RELEASE_GRACE_S = 0.02
 IDLE_CLIENT_TIMEOUT_S = 3.0  # from the connect: a client without a request gets an error or a close by then
 SHUTDOWN_LIMIT_S = 8.0  # from SIGTERM: the process has exited by then
 RUN_STEP_S = 0.5
@@ -54,7 +55,7 @@
     budget: float
     end_offset: int  # of its last byte in all data of the client
     after_close_request: bool  # sent after a request with Connection: close
-    read_at: float | None = None  # when the proxy had read it completely
+    read_at: float | None = None  # when `check` first found that the proxy had read it completely
     code: int = 0
     body: bytes = b""
     answered_at: float = 0.0
@@ -102,7 +103,11 @@
         return not (self.unsent_rest or self.close_announced or self.close_requested)
 
     def is_owed(self, request: SentRequest) -> bool:
-        """Whether the proxy must answer a request: it has read it, and did so before it announced a close."""
+        """Whether the proxy must answer a request: it has read it, and did so before it announced a close.
+
+        That is not required if the client has disconnected, paused reading or sent malformed data, or has
+        sent the request after one with Connection: close.
+        """
         if (
             self.disconnected_at is not None
             or not self.input_valid
@@ -248,10 +253,10 @@
         self.client_by_request: dict[str, Client] = {}
         self.received_attempts: dict[str, list[ReceivedAttempt]] = {}  # by request id
         self.served_bodies: dict[str, set[bytes]] = {}  # what backends sent, by request id
-        self.connect_mode = "at once"
+        self.connect_mode = "at once"  # or late, never, refused
         self.request_count = 0
         self.violations: list[RuleViolation] = []
-        self.version = 1
+        self.version = 1  # of the server list
         self.shutdown_task: asyncio.Task[None] | None = None
         self.sigterm_at = math.inf
         self.exited = False  # the proxy's process
@@ -407,7 +412,10 @@
                 )
 
     def on_client_closed(self, client: Client) -> None:
-        """Checks that the proxy answered all requests that it had read on a connection that it closes."""
+        """Checks a connection that the proxy closes: it has answered all requests that it had read there.
+
+        A close that resets the connection must not lose an answer either.
+        """
         if client.disconnected_at is not None or not client.input_valid or client.has_paused_reading:
             return
         just_answered = [
--- a/granitepoint/modelcheck/rules.py
+++ b/granitepoint/modelcheck/rules.py
@@ -21,9 +21,9 @@
 )
 from granitepoint.modelcheck.world import Call, Location, Rule, World
 
-# An attempt may have this timeout even if its client has less time left: it is then cut off earlier.
+# An attempt may have this timeout even if its client has less time left; it then ends at the deadline.
 MIN_TIMEOUT_S = 0.005
-MAX_TIMER_S = 71 * 60.0
+MAX_TIMER_S = 71 * 60.0  # longest delay of a timer
 TIME_TOLERANCE_S = 1e-9  # for rounding errors
 
 
@@ -48,8 +48,8 @@
         self.check(call is not None, f"{action} for an unknown request")
         assert call is not None
         self.check(not call.answered, f"{action} is a second answer to the request")
-        # A request that ends in a batch may be answered because of an earlier event of that batch: no client
-        # receives that answer.
+        # If a request ends with an event of this batch, the instance may still answer it because of an
+        # earlier event of the batch. No client receives that answer.
         unobserved = call.ended_in_turn == world.turns
         self.check(call.ended_in_turn is None or unobserved, f"{action} for a request that had ended")
         self.check(unobserved or not call.streaming, f"{action} for a request whose stream has started")
@@ -68,7 +68,10 @@
 
 
 class RepeatRule(Rule):
-    """A request that may have run is repeated only as its class allows, and not refused as safe to retry."""
+    """A request that may have run is repeated only as its class allows, and refused only if that is harmless.
+
+    A refusal tells the client that it may safely send the request again.
+    """
 
     name = "repeat"
 
@@ -116,7 +119,7 @@
 
 
 def same_group(group: str, first: Location, second: Location) -> bool:
-    """Whether two servers drop each other's repeats.
+    """Whether two servers deduplicate together: each drops repeats of requests that the other has run.
 
     Depending on the group, all servers do so, or those of one zone, or those of one cell.
     """
--- a/granitepoint/modelcheck/sockets.py
+++ b/granitepoint/modelcheck/sockets.py
@@ -166,7 +166,7 @@
         self.closing = False
         self.closed = False
         self.eof_sent = self.eof_pending = False
-        self.peer_closed = False
+        self.peer_closed = False  # in both directions
         self.writing_paused = False
         self.bytes_read = 0  # passed to the protocol
         self.reset_by_proxy = False
@@ -186,11 +186,11 @@
         return events
 
     def readable(self) -> bool:
-        """Whether the proxy is reading and has data, an end or a reset to read."""
+        """Whether the proxy is reading and has data, EOF or a reset for which no read is scheduled."""
         return self.reading and bool(self.receive_buffer) and not self.closing and not self.read_scheduled
 
     def read(self) -> None:
-        """Passes the next data, the end or the reset to the protocol."""
+        """Passes the next data, EOF or the reset to the protocol."""
         self.read_scheduled = False
         if not self.reading or self.closing or not self.receive_buffer:
             return
@@ -210,7 +210,7 @@
             self.protocol.data_received(data)
 
     def flush(self) -> None:
-        """Delivers written data to the peer while it reads, and then the end or the close."""
+        """Delivers written data to the peer while it reads, and then EOF or the close."""
         if self.peer_reading and self.send_buffer:
             data = bytes(self.send_buffer)
             self.send_buffer.clear()
@@ -228,7 +228,7 @@
                 self.loop.call_soon(self.finish_close, None)
 
     def finish_close(self, error: Exception | None) -> None:
-        """Closes the connection; it is a reset if data in either direction are left."""
+        """Closes the connection; it counts as a reset if either buffer is not empty."""
         if self.closed:
             return
         self.closed = self.closing = True
@@ -250,12 +250,12 @@
             self.receive_buffer.append(data)
 
     def peer_ends(self) -> None:
-        """Closes the peer's sending direction; with `peer_closed` set, the whole connection."""
+        """Closes the peer's sending direction: the proxy reads EOF after all data."""
         if not self.closed and not any(not item for item in self.receive_buffer):
             self.receive_buffer.append(EOF_MARK)
 
     def peer_closes(self) -> None:
-        """Closes the connection on the peer's side."""
+        """Closes both directions on the peer's side: data that it gets from then on cause a reset."""
         self.peer_ends()
         self.peer_closed = True
 
--- a/granitepoint/modelcheck/world.py
+++ b/granitepoint/modelcheck/world.py
@@ -97,7 +97,7 @@
 
 
 class Rule:
-    """Checks one rule. World calls its methods before it applies an action of the instance."""
+    """Checks one rule. World calls its methods before it applies an action, and at the end of a turn."""
 
     name = ""
 
@@ -146,9 +146,9 @@
         self.calls: dict[int, Call] = {}
         self.open_calls: dict[int, Call] = {}  # not ended, or with attempts in flight
         self.known_servers: dict[int, ServerEntry] = {}  # by the lists so far, without those that are gone
-        self.ever_listed: set[int] = set()
-        self.timers: list[tuple[float, int]] = []
-        self.probes_in_flight: list[int] = []
+        self.ever_listed: set[int] = set()  # ids of servers
+        self.timers: list[tuple[float, int]] = []  # due time and token of each
+        self.probes_in_flight: list[int] = []  # ids of their servers
         self.pending_events: list[Event] = []
 
     # Events that reach the instance.
@@ -220,7 +220,10 @@
         return min(due_times, default=math.inf)
 
     def advance_time(self, time_span: float) -> None:
-        """Lets time pass, with a turn for each due event, but with at least the quantum between two turns."""
+        """Runs a turn, then lets time pass with a turn for each due event.
+
+        At least the quantum lies between two turns.
+        """
         end = self.now + time_span
         self.run_turn()
         while True:
@@ -232,14 +235,14 @@
         self.now = end
 
     def stall(self, time_span: float, due_first: bool = False) -> None:
-        """Lets time pass without a turn; then delivers all due events in one batch."""
+        """Lets time pass without a turn; then delivers all added and due events in one batch."""
         self.now += time_span
         for call in self.open_calls.values():
             call.answer_due_at = max(call.answer_due_at, self.now)
         self.run_turn(due_first)
 
     def run_turn(self, due_first: bool = False) -> None:
-        """Delivers one batch: the added events and then the due ones, or the due ones first.
+        """Delivers one batch: the added events and then the due timers and timeouts, or these first.
 
         Raises RuleViolation if a rule is violated.
         """
@@ -266,7 +269,7 @@
         }
 
     def apply(self, action: Action) -> None:
-        """Has an action checked by the rules and applies it."""
+        """Checks an action against the rules and applies it."""
         for rule in self.rules:
             rule.on_action(self, action)
         if isinstance(action, Send):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,8 @@
 from granitepoint.faults.soak import draw_plan, report_lines, soak
 from granitepoint.faults.syscalls import compiler_path
 
-# The last three give a proxy a new address of discovery, two of them while discovery is silent or fails late.
+# The last three give a proxy a new address of discovery, while discovery is silent (5), fails at once (10) or
+# refuses connections (12).
 SEEDS = (1, 2, 4, 5, 10, 12)
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -14,7 +14,8 @@
 def test_after_a_move_every_proxy_gets_a_list_before_the_changes_at_the_new_address_count_as_notified(
     proxies: int,
 ) -> None:
-    """A round takes 3.5 s, the list changes each second, and a fifth of the fleet restarts meanwhile.
+    """Discovery can answer all proxies once in 3.5 s (a round). The list changes each second, and a fifth of
+    the fleet restarts meanwhile.
 
     When all proxies requested full lists, a third had none 4 s after the move. The last one got its
     list after 16 s.
@@ -38,13 +39,16 @@
 
 def test_an_outage_twice_as_long_as_usual_leaves_most_of_a_day() -> None:
     """Nothing proves that discovery is unreachable while it accepts calls and fails them late, so proxies
-    refuse requests from 6 s on. Of 50 s with an outage of 16 s, each can serve at least three fifths."""
+    refuse requests from 6 s on. Of 50 s with an outage of 16 s, they serve at least 3/5 on average."""
     result = play(Day(20, round_length=5.0, end=60.0, outage=(12.0, 28.0)))
     assert result.time_without_list < 0.4 * 20 * 50.0
     assert result.last_wait < 5.0 + MAX_QUEUE_TIME_S and result.still_waiting == 0
 
 
 def test_a_day_of_which_most_is_an_outage_is_served_for_half_of_it() -> None:
-    """Half of what is served without an outage is required, however long calls to discovery fail late."""
+    """However long calls to discovery fail late, half of what is served without an outage is required.
+
+    So proxies may be without a usable list for at most 25 s of the 50 s that are measured, on average.
+    """
     result = play(Day(9, round_length=5.0, end=60.0, outage=(12.0, 44.0)))
     assert result.time_without_list < 0.5 * 9 * 50.0
