--- a/granitepoint/fleet/experiment.py
+++ b/granitepoint/fleet/experiment.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from granitepoint.benchlink import read_settings
 from granitepoint.interface import Settings
 from granitepoint.net.config import flatten_settings
+from granitepoint.simulator_adapter import read_settings
 
 
 class ExperimentError(Exception):
--- a/granitepoint/fleet/state.py
+++ b/granitepoint/fleet/state.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from granitepoint.benchlink import read_settings
 from granitepoint.fleet.experiment import DEFAULT_SETTINGS
 from granitepoint.net.config import Config, flatten_settings
 from granitepoint.net.driver import Driver
 from granitepoint.net.server import Request
+from granitepoint.simulator_adapter import read_settings
 
 UNUSED_ADDRESS = ("127.0.0.1", 9)  # the driver never listens or connects
 
--- a/granitepoint/fleet/worker.py
+++ b/granitepoint/fleet/worker.py
@@ -24,7 +24,6 @@
 import numpy as np
 import uvloop
 
-from granitepoint.benchlink import read_settings
 from granitepoint.fleet import backends as simulated_backends
 from granitepoint.fleet.callers import Callers, Front, ProxyTarget, call_next_service, proxy_targets
 from granitepoint.fleet.discovery import CallCounts, Discovery, ListedBackend, ServiceList
@@ -35,6 +34,7 @@
 from granitepoint.fleet.wire import Listener, Message, split_address
 from granitepoint.net import logs
 from granitepoint.net.config import Config, flatten_settings
+from granitepoint.simulator_adapter import read_settings
 
 MAX_LIFETIME = 900.0  # s after which the process ends in any case
 
--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.benchlink import read_settings
 from granitepoint.interface import Settings
 from granitepoint.net import logs
+from granitepoint.simulator_adapter import read_settings
 
 Address = tuple[str, int]  # host and port
 MAX_SEED = 1 << 256  # seeds are between -MAX_SEED and MAX_SEED, both excluded
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -19,12 +19,12 @@
 from hypothesis import strategies as st
 from netkit import ROOT, config, endpoint, listing
 
-from granitepoint.benchlink import REPORT_CHANNELS, WEIGHT_MEANINGS
 from granitepoint.cli import schema
 from granitepoint.cli.check import DOUBTFUL, NO_EFFECT, OUT_OF_RANGE, UNKNOWN, check_content
 from granitepoint.interface import Effect, Settings
 from granitepoint.net.config import Config, ConfigError, load
 from granitepoint.net.listing import read_listing
+from granitepoint.simulator_adapter import REPORT_CHANNELS, WEIGHT_MEANINGS
 
 PROPERTY_TEST = hypothesis_settings(
     max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -531,6 +531,6 @@
 
 
 def test_the_proxy_and_the_simulator_adapter_do_not_import_the_emulator() -> None:
-    code = "import sys, granitepoint.__main__, granitepoint.benchlink as b; assert b\n"
+    code = "import sys, granitepoint.__main__, granitepoint.simulator_adapter as b; assert b\n"
     code += "assert not [name for name in sys.modules if 'emulator' in name]"
     subprocess.run([sys.executable, "-c", code], check=True, cwd=ROOT, timeout=60)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -31,13 +31,13 @@
 
 from granitepoint import __main__ as proxy_main
 from granitepoint.__main__ import drain
-from granitepoint.benchlink import read_settings
 from granitepoint.interface import Effect, Status
 from granitepoint.net import upstream as upstream_module
 from granitepoint.net.config import Config, flatten_settings
 from granitepoint.net.driver import Driver
 from granitepoint.net.listing import read_listing
 from granitepoint.net.server import KEEP_ALIVE_TIMEOUT_S, REQUEST_READ_TIMEOUT_S, Request, Server
+from granitepoint.simulator_adapter import read_settings
 
 STOCK_REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: %016d\r\nX-Budget: 9000m\r\n\r\n"
 
--- a/tests/test_fleet_run.py
+++ b/tests/test_fleet_run.py
@@ -139,8 +139,8 @@
     assert results.single_record(results.read(tmp_path / "tiny.jsonl"), results.End).complete
 
 
-def test_the_proxy_and_the_benchlink_import_nothing_of_the_fleet() -> None:
-    code = "import sys, granitepoint.__main__, granitepoint.benchlink; print(*sorted(sys.modules))"
+def test_the_proxy_and_the_simulator_adapter_import_nothing_of_the_fleet() -> None:
+    code = "import sys, granitepoint.__main__, granitepoint.simulator_adapter; print(*sorted(sys.modules))"
     loaded_modules = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     ).stdout
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 import pytest
 
 from granitepoint import Balancer, Settings, Tell
-from granitepoint.benchlink import Host, read_settings, write_action
+from granitepoint.simulator_adapter import Host, read_settings, write_action
 
 ROOT = Path(__file__).parent.parent
 PARAMS = (
@@ -63,7 +63,7 @@
 
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "granitepoint.benchlink"],
+        [sys.executable, "-m", "granitepoint.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -257,7 +257,7 @@
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
     completed = subprocess.run(
-        [sys.executable, "-m", "granitepoint.benchlink"],
+        [sys.executable, "-m", "granitepoint.simulator_adapter"],
         input=b"tick clock=1 seq=0\n\xff\xfe=1\nm\n",
         capture_output=True,
         cwd=ROOT,
