--- a/granitepoint/emulator/calls.py
+++ b/granitepoint/emulator/calls.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from granitepoint.emulator.instance import Instance
     from granitepoint.emulator.server import Server
-    from granitepoint.emulator.tally import Window
+    from granitepoint.emulator.statistics import Window
 
 
 class CallResult(Enum):
--- a/granitepoint/emulator/command.py
+++ b/granitepoint/emulator/command.py
@@ -10,7 +10,7 @@
 import cyclopts
 import msgspec
 
-from granitepoint.emulator import drawn, tally
+from granitepoint.emulator import drawn, statistics
 from granitepoint.emulator.day import load
 from granitepoint.emulator.world import World
 from granitepoint.fleet.experiment import ExperimentError
@@ -44,13 +44,13 @@
     try:
         records = world.run()
         if json is not None:
-            tally.write(records, json)
-    except (tally.EmulatorError, OSError) as error:
+            statistics.write(records, json)
+    except (statistics.EmulatorError, OSError) as error:
         print(f"emulator: {error}", file=sys.stderr)
         return EXIT_FAILED
     elapsed, cpu_time = time.monotonic() - started_at, time.process_time() - cpu_started_at
-    calls = sum(record.calls for record in records if isinstance(record, tally.Total))
-    print(tally.text(records), end="")
+    calls = sum(record.calls for record in records if isinstance(record, statistics.Total))
+    print(statistics.text(records), end="")
     print(
         f"{elapsed:.1f} s ({build_time:.1f} s of it to build), {cpu_time:.1f} s CPU time, "
         f"{calls / max(cpu_time, 1e-9):.0f} calls per second of CPU time",
--- a/granitepoint/emulator/world.py
+++ b/granitepoint/emulator/world.py
@@ -14,7 +14,7 @@
 from granitepoint.emulator.loop import EventLoop
 from granitepoint.emulator.registry import DiscoveryQueue, Registry
 from granitepoint.emulator.server import Server
-from granitepoint.emulator.tally import Begin, EmulatorError, Sample, Tally
+from granitepoint.emulator.statistics import Begin, EmulatorError, Sample, Tally
 from granitepoint.emulator.troubles import FaultInjector
 from granitepoint.fleet.plan import derive_seed
 from granitepoint.fleet.results import Record
--- a/granitepoint/experiments/cell.py
+++ b/granitepoint/experiments/cell.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from granitepoint.emulator.day import Day, check
-from granitepoint.emulator.tally import EmulatorError
+from granitepoint.emulator.statistics import EmulatorError
 from granitepoint.emulator.world import World
 from granitepoint.fleet.experiment import ExperimentError
 
--- a/granitepoint/experiments/command.py
+++ b/granitepoint/experiments/command.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from granitepoint.emulator.tally import Total
+from granitepoint.emulator.statistics import Total
 from granitepoint.experiments import paired, play
 from granitepoint.experiments.plan import Experiment, load
 from granitepoint.experiments.store import Result, Store, StoreError
--- a/granitepoint/experiments/page.py
+++ b/granitepoint/experiments/page.py
@@ -11,7 +11,7 @@
 
 import jinja2
 
-from granitepoint.emulator.tally import Total
+from granitepoint.emulator.statistics import Total
 from granitepoint.experiments import paired, plots
 from granitepoint.experiments.plan import Experiment
 from granitepoint.experiments.store import Result, StoreError
--- a/granitepoint/experiments/paired.py
+++ b/granitepoint/experiments/paired.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from granitepoint.emulator.tally import Total
+from granitepoint.emulator.statistics import Total
 
 BOOTSTRAP_RESAMPLES = 10_000
 CONFIDENCE_PERCENT = 95.0
--- a/granitepoint/experiments/plots.py
+++ b/granitepoint/experiments/plots.py
@@ -12,7 +12,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from granitepoint.emulator import tally
+from granitepoint.emulator import statistics
 from granitepoint.experiments.store import EmulatorRecord
 
 COLOURS = ("#1b6ca8", "#d1495b", "#3a7d44", "#8d6a9f", "#c98b1d", "#4a4e69")
@@ -24,23 +24,23 @@
     """The records of one cell that its plots need."""
 
     title: str
-    windows: list[tally.Window]
-    samples: list[tally.Sample]  # of the proxies, which send to the first tier
-    events: list[tally.Seen]
+    windows: list[statistics.Window]
+    samples: list[statistics.Sample]  # of the proxies, which send to the first tier
+    events: list[statistics.Seen]
 
     @property
     def times(self) -> list[float]:
         """The middle of each window, in seconds since the start of the day."""
-        return [window.from_s + tally.WINDOW_LENGTH / 2 for window in self.windows]
+        return [window.from_s + statistics.WINDOW_LENGTH / 2 for window in self.windows]
 
 
 def from_records(title: str, records: Sequence[EmulatorRecord]) -> CellRun:
     """Selects the records to plot from all records of one cell, in the emulator's order."""
     return CellRun(
         title,
-        [record for record in records if isinstance(record, tally.Window)],
-        [record for record in records if isinstance(record, tally.Sample) and record.depth == 0],
-        [record for record in records if isinstance(record, tally.Seen)],
+        [record for record in records if isinstance(record, statistics.Window)],
+        [record for record in records if isinstance(record, statistics.Sample) and record.depth == 0],
+        [record for record in records if isinstance(record, statistics.Seen)],
     )
 
 
@@ -49,8 +49,8 @@
 
 
 def _plot_arrivals(axes: Axes, run: CellRun) -> None:
-    axes.plot(run.times, [w.offered / tally.WINDOW_LENGTH for w in run.windows], label="first tries")
-    axes.plot(run.times, [w.tries / tally.WINDOW_LENGTH for w in run.windows], label="with retries")
+    axes.plot(run.times, [w.offered / statistics.WINDOW_LENGTH for w in run.windows], label="first tries")
+    axes.plot(run.times, [w.tries / statistics.WINDOW_LENGTH for w in run.windows], label="with retries")
 
 
 def _plot_in_time(axes: Axes, run: CellRun) -> None:
--- a/granitepoint/experiments/store.py
+++ b/granitepoint/experiments/store.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from granitepoint.emulator import tally
+from granitepoint.emulator import statistics
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS about (key TEXT PRIMARY KEY, value TEXT NOT NULL);
@@ -32,7 +32,13 @@
 """
 FORMAT_VERSION = "1"
 EmulatorRecord = (
-    tally.Begin | tally.Seen | tally.Sample | tally.Window | tally.Group | tally.Depth | tally.Total
+    statistics.Begin
+    | statistics.Seen
+    | statistics.Sample
+    | statistics.Window
+    | statistics.Group
+    | statistics.Depth
+    | statistics.Total
 )
 
 
@@ -61,10 +67,10 @@
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
             raise StoreError(f"{self.variant} {self.day} seed {self.seed}: {error}") from None
 
-    def total(self) -> tally.Total:
+    def total(self) -> statistics.Total:
         """Returns the record with the totals of the cell. Raises StoreError if there is none."""
         for record in reversed(self.decode_records()):
-            if isinstance(record, tally.Total):
+            if isinstance(record, statistics.Total):
                 return record
         raise StoreError(f"{self.variant} {self.day} seed {self.seed}: the results have no totals")
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.emulator import tally
+from granitepoint.emulator import statistics
 from granitepoint.emulator.calls import Attempt, AttemptState, Call, CallResult, Request, draw
 from granitepoint.emulator.command import emulate
 from granitepoint.emulator.day import Choke, parse
@@ -153,11 +153,11 @@
         return attempt
 
 
-def total(records: list[Record]) -> tally.Total:
-    return next(record for record in records if isinstance(record, tally.Total))
+def total(records: list[Record]) -> statistics.Total:
+    return next(record for record in records if isinstance(record, statistics.Total))
 
 
-def run(text: str, **changes: object) -> tally.Total:
+def run(text: str, **changes: object) -> statistics.Total:
     return total(World(msgspec.structs.replace(parse(text), **changes)).run())
 
 
@@ -232,11 +232,13 @@
     total_record = total(records)
     assert sum(total_record.ends.values()) == total_record.requests > 100
     assert world.tally.open_requests == 0
-    classes = [record for record in records if isinstance(record, tally.Group) and record.kind == "class"]
-    windows = [record for record in records if isinstance(record, tally.Window)]
+    classes = [
+        record for record in records if isinstance(record, statistics.Group) and record.kind == "class"
+    ]
+    windows = [record for record in records if isinstance(record, statistics.Window)]
     for groups in (classes, windows):
         assert sum(sum(one.ends.values()) for one in groups) == total_record.requests
-    for depth in (record for record in records if isinstance(record, tally.Depth)):
+    for depth in (record for record in records if isinstance(record, statistics.Depth)):
         assert depth.work_served <= depth.work_done + 1e-6
     for server in world.servers.values():
         incarnations = [
@@ -263,7 +265,7 @@
     request = bench.send(1, 0.0, 1.0).call.request
     bench.world.tally.request_started(request)
     bench.world.tally.request_ended(request, "refused", 1.0)
-    with pytest.raises(tally.EmulatorError, match="ended twice"):
+    with pytest.raises(statistics.EmulatorError, match="ended twice"):
         bench.world.tally.request_ended(request, "refused", 1.0)
 
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -14,7 +14,7 @@
 
 from granitepoint.cli import main
 from granitepoint.emulator import day as days
-from granitepoint.emulator.tally import Total
+from granitepoint.emulator.statistics import Total
 from granitepoint.experiments import page, paired, plan, play, versions
 from granitepoint.experiments.store import Result, Store, StoreError
 from granitepoint.fleet.experiment import ExperimentError
