--- a/granitepoint/emulator/command.py
+++ b/granitepoint/emulator/command.py
@@ -10,7 +10,7 @@
 import cyclopts
 import msgspec
 
-from granitepoint.emulator import drawn, statistics
+from granitepoint.emulator import simulator_days, statistics
 from granitepoint.emulator.day import load
 from granitepoint.emulator.world import World
 from granitepoint.fleet.experiment import ExperimentError
@@ -32,7 +32,7 @@
     standard output, the run time to standard error. Returns the exit code.
     """
     try:
-        loaded_day = drawn.load(day) if day.suffix == ".json" else load(day)
+        loaded_day = simulator_days.load(day) if day.suffix == ".json" else load(day)
     except ExperimentError as error:
         print(f"emulator: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
--- a/granitepoint/experiments/plan.py
+++ b/granitepoint/experiments/plan.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from granitepoint.emulator import day as days
-from granitepoint.emulator import drawn
+from granitepoint.emulator import simulator_days
 from granitepoint.fleet.experiment import ExperimentError
 
 MAX_CELLS = 100_000
@@ -136,7 +136,7 @@
     day_names: set[str] = set()
     for name in plan.days:
         path = folder / name
-        day = drawn.load(path) if path.suffix == ".json" else days.load(path)
+        day = simulator_days.load(path) if path.suffix == ".json" else days.load(path)
         day_name = path.stem
         _require(day_name not in day_names, "days", f"two files have the name {day_name}")
         day_names.add(day_name)
--- a/tests/test_emulator_drawn.py
+++ b/tests/test_emulator_drawn.py
@@ -9,7 +9,7 @@
 import pytest
 
 from granitepoint.emulator.day import FastErrors, HeavyTail, Roll
-from granitepoint.emulator.drawn import load
+from granitepoint.emulator.simulator_days import load
 from granitepoint.emulator.world import World
 from granitepoint.fleet.experiment import ExperimentError
 
