--- a/granitepoint/faults/soak.py
+++ b/granitepoint/faults/soak.py
@@ -11,8 +11,8 @@
 from random import Random
 
 from granitepoint.faults.discovery import Mode
+from granitepoint.faults.harness import READY_TIMEOUT_S, SoakHarness, soak_harness
 from granitepoint.faults.process import ProxyProcess
-from granitepoint.faults.rig import READY_TIMEOUT_S, SoakHarness, soak_harness
 from granitepoint.faults.rules import Violation
 from granitepoint.faults.syscalls import (
     SyscallFault,
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -14,7 +14,7 @@
 import pytest
 from netkit import run
 
-from granitepoint.faults.rig import soak_harness
+from granitepoint.faults.harness import soak_harness
 from granitepoint.faults.syscalls import (
     SyscallFault,
     build_library,
--- a/tests/test_stale_lists.py
+++ b/tests/test_stale_lists.py
@@ -24,7 +24,7 @@
 from netkit import run
 
 from granitepoint.faults.discovery import Mode
-from granitepoint.faults.rig import soak_harness
+from granitepoint.faults.harness import soak_harness
 
 NOTIFIED_AFTER = 6.3  # s after a change until the proxy counts as notified, including the grace period
 CLIENTS = 4  # concurrent clients
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -14,7 +14,7 @@
 import pytest
 from netkit import endpoint, listing, run
 
-from granitepoint.faults.rig import soak_harness
+from granitepoint.faults.harness import soak_harness
 from granitepoint.faults.syscalls import SyscallFault, build_library, compiler_path, fault_environment
 from granitepoint.membership.start_times import MAX_NEW_START_AGE, StartTimes
 from granitepoint.net.listing import read_listing
