--- a/granitepoint/modelcheck/obligations.py
+++ b/granitepoint/modelcheck/obligations.py
@@ -28,7 +28,7 @@
     Timer,
 )
 from granitepoint.logic import Balancer
-from granitepoint.modelcheck import draw
+from granitepoint.modelcheck import strategies
 from granitepoint.modelcheck.rules import RULES
 from granitepoint.modelcheck.world import Attempt, BalancerFactory, Call, Rule, World
 
@@ -46,11 +46,11 @@
     last_id = 0
 
     @initialize(
-        options=draw.options,
+        options=strategies.options,
         seed=st.integers(0, 999),
         now=st.sampled_from([0.0, 100.0]),
         window=st.sampled_from(CONCURRENCY_LIMITS),
-        server_count=st.sampled_from([draw.MAX_SERVERS, 4, 2, 1, 0]),
+        server_count=st.sampled_from([strategies.MAX_SERVERS, 4, 2, 1, 0]),
     )
     def begin(
         self,
@@ -69,7 +69,7 @@
             Settings(**options), seed, [rule() for rule in self.checkers], balancer_factory, now
         )
         self.world.balancer.admission.window = window
-        list_entries = [draw.server_entry(server) for server in range(1, server_count + 1)]
+        list_entries = [strategies.server_entry(server) for server in range(1, server_count + 1)]
         self.world.add_list(ServerList(ListKind.SAVED, list_entries))
 
     def in_flight(self) -> list[tuple[Call, Attempt]]:
@@ -109,7 +109,7 @@
             )
 
     @rule(
-        class_name=st.sampled_from(["unheard of", *draw.CLASS_NAMES]),
+        class_name=st.sampled_from(["unheard of", *strategies.CLASS_NAMES]),
         budget=st.sampled_from([0.0, -1.0, math.inf]),
     )
     def arrive_invalid(self, class_name: str, budget: float) -> None:
@@ -130,7 +130,7 @@
     @rule(
         which=st.integers(0, 99),
         status=st.sampled_from(Status),
-        report=draw.load_reports,
+        report=strategies.load_reports,
         seconds_idle=st.sampled_from([None, 0.0, 0.3, 20.0]),
     )
     def finish_attempt(
@@ -159,7 +159,7 @@
             self.world.finish_attempt(call, attempt, status)
 
     @precondition(lambda self: self.in_flight())
-    @rule(status=st.sampled_from(Status), server=st.integers(0, draw.MAX_SERVERS))
+    @rule(status=st.sampled_from(Status), server=st.integers(0, strategies.MAX_SERVERS))
     def finish_attempts(self, status: Status, server: int) -> None:
         """Ends all attempts in flight with the same status, or those on one server (0: on all)."""
         for call, attempt in self.in_flight():
@@ -214,17 +214,21 @@
             self.world.pending_events.append(Probed(id, status, 0.1, None))
 
     @rule(
-        kind=draw.list_kinds,
-        list_entries=st.lists(draw.entry_parameters, max_size=4, unique_by=lambda parameters: parameters[0]),
+        kind=strategies.list_kinds,
+        list_entries=st.lists(
+            strategies.entry_parameters, max_size=4, unique_by=lambda parameters: parameters[0]
+        ),
         calls=st.integers(0, 9),
     )
-    def receive_list(self, kind: ListKind, list_entries: list[draw.EntryParameters], calls: int) -> None:
+    def receive_list(
+        self, kind: ListKind, list_entries: list[strategies.EntryParameters], calls: int
+    ) -> None:
         """Adds a server list, and calls that arrive in the same batch.
 
         A full or saved list holds all servers in their initial state, except for those in `list_entries`.
         """
         changed = {
-            parameters[0]: draw.server_entry(
+            parameters[0]: strategies.server_entry(
                 *parameters[:2], self.world.now if parameters[2] else 0.0, parameters[3]
             )
             for parameters in list_entries
@@ -233,7 +237,7 @@
             changed = {}
         elif kind is not ListKind.INCREMENTAL:
             full_list = {
-                server: draw.server_entry(server) for server in range(1, draw.MAX_SERVERS + 1)
+                server: strategies.server_entry(server) for server in range(1, strategies.MAX_SERVERS + 1)
             } | changed
             changed = {server: e for server, e in full_list.items() if e.state is not ServerState.GONE}
         self.world.add_list(ServerList(kind, list(changed.values())))
@@ -266,18 +270,18 @@
     @rule(
         which=st.integers(0, 99),
         status=st.sampled_from([Status.OK, Status.ERROR, Status.FULL, Status.TIMEOUT, Status.CONNECT_FAILED]),
-        report=draw.load_reports,
+        report=strategies.load_reports,
     )
     def finish_probe(self, which: int, status: Status, report: dict[str, float] | None) -> None:
         """Ends a probe in flight."""
         self.world.finish_probe(which % len(self.world.probes_in_flight), status, report)
 
-    @rule(server=st.integers(1, draw.MAX_SERVERS), idle_for=st.sampled_from([0.0, 0.5, 30.0]))
+    @rule(server=st.integers(1, strategies.MAX_SERVERS), idle_for=st.sampled_from([0.0, 0.5, 30.0]))
     def close_idle(self, server: int, idle_for: float) -> None:
         """Adds the event that a server closed a connection that had been idle for this many seconds."""
         self.world.pending_events.append(IdleConnectionClosed(server, idle_for))
 
-    @rule(time_span=st.sampled_from(draw.DURATIONS))
+    @rule(time_span=st.sampled_from(strategies.DURATIONS))
     def wait(self, time_span: float) -> None:
         """Lets time pass."""
         self.world.advance_time(time_span)
