--- a/granitepoint/experiments/command.py
+++ b/granitepoint/experiments/command.py
@@ -16,7 +16,7 @@
 from rich.table import Table
 
 from granitepoint.emulator.statistics import Total
-from granitepoint.experiments import paired, play
+from granitepoint.experiments import comparison, play
 from granitepoint.experiments.plan import Experiment, load
 from granitepoint.experiments.store import Result, Store, StoreError
 from granitepoint.fleet.experiment import ExperimentError
@@ -49,16 +49,16 @@
     """Prints the means of each variant and its differences from the baseline."""
     variant_names = [variant.name for variant in plan.variants]
     title = f"{plan.name}: means"
-    table = Table("day", "variant", "cells", *paired.FIGURES, title=title, title_justify="left")
-    for day, name, count, means in paired.means(totals, variant_names):
+    table = Table("day", "variant", "cells", *comparison.FIGURES, title=title, title_justify="left")
+    for day, name, count, means in comparison.means(totals, variant_names):
         table.add_row(day, name, str(count), *[f"{mean:.4g}" for mean in means])
     console.print(table)
-    differences = paired.differences(totals, plan.base, variant_names)
+    differences = comparison.differences(totals, plan.base, variant_names)
     if not differences:
         return
     table = Table(
         "variant", "figure", "unit", "pairs", plan.base, "less it",
-        f"{paired.CONFIDENCE_PERCENT:g}% interval", "verdict",
+        f"{comparison.CONFIDENCE_PERCENT:g}% interval", "verdict",
         title="differences, paired by day and seed", title_justify="left",
     )  # fmt: skip
     for row in differences:
--- a/granitepoint/experiments/page.py
+++ b/granitepoint/experiments/page.py
@@ -12,7 +12,7 @@
 import jinja2
 
 from granitepoint.emulator.statistics import Total
-from granitepoint.experiments import paired, plots
+from granitepoint.experiments import comparison, plots
 from granitepoint.experiments.plan import Experiment
 from granitepoint.experiments.store import Result, StoreError
 
@@ -67,9 +67,9 @@
         raise StoreError("no cell ran to its end without an error: there is nothing to report")
     variant_names = [variant.name for variant in plan.variants]
     days = sorted({key[1] for key in totals})
-    tables = [("All days", paired.differences(totals, plan.base, variant_names))]
+    tables = [("All days", comparison.differences(totals, plan.base, variant_names))]
     if len(days) > 1:
-        tables += [(day, paired.differences(totals, plan.base, variant_names, day)) for day in days]
+        tables += [(day, comparison.differences(totals, plan.base, variant_names, day)) for day in days]
     pairs = []
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -90,10 +90,10 @@
             cells=len(results),
             faults=[result for result in results if result.fault],
             commits={result.variant: result.commit for result in results},
-            interval=f"{paired.CONFIDENCE_PERCENT:g}",
+            interval=f"{comparison.CONFIDENCE_PERCENT:g}",
             tables=[(title, rows) for title, rows in tables if rows],
-            figures=list(paired.FIGURES),
-            means=paired.means(totals, variant_names),
+            figures=list(comparison.FIGURES),
+            means=comparison.means(totals, variant_names),
             pairs=pairs,
         )
         path = folder / "index.html"
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -15,7 +15,7 @@
 from granitepoint.cli import main
 from granitepoint.emulator import day as days
 from granitepoint.emulator.statistics import Total
-from granitepoint.experiments import page, paired, plan, play, versions
+from granitepoint.experiments import comparison, page, plan, play, versions
 from granitepoint.experiments.store import Result, Store, StoreError
 from granitepoint.fleet.experiment import ExperimentError
 
@@ -181,22 +181,22 @@
 
 
 def test_the_bootstrap_interval_of_known_values() -> None:
-    assert paired.bootstrap_interval([[2.0, 2.0], [2.0]]) == (2.0, 2.0)
+    assert comparison.bootstrap_interval([[2.0, 2.0], [2.0]]) == (2.0, 2.0)
     # One day of +1 and one of -1: each is resampled on its own, so the mean is always 0.
-    assert paired.bootstrap_interval([[1.0] * 5, [-1.0] * 5]) == (0.0, 0.0)
-    low, high = paired.bootstrap_interval([[0.0, 1.0] * 50])
+    assert comparison.bootstrap_interval([[1.0] * 5, [-1.0] * 5]) == (0.0, 0.0)
+    low, high = comparison.bootstrap_interval([[0.0, 1.0] * 50])
     assert low == pytest.approx(0.40, abs=0.03) and high == pytest.approx(0.60, abs=0.03)
     with pytest.raises(ValueError, match="no values to resample"):
-        paired.bootstrap_interval([[], []])
+        comparison.bootstrap_interval([[], []])
 
 
 @given(values=st.lists(st.floats(-100, 100), min_size=1, max_size=8), shift=st.floats(-50, 50))
 def test_the_bootstrap_interval_lies_within_the_values_and_shifts_with_them(
     values: list[float], shift: float
 ) -> None:
-    low, high = paired.bootstrap_interval([values])
+    low, high = comparison.bootstrap_interval([values])
     assert min(values) - 1e-9 <= low <= high <= max(values) + 1e-9
-    shifted = paired.bootstrap_interval([[value + shift for value in values]])
+    shifted = comparison.bootstrap_interval([[value + shift for value in values]])
     assert shifted == pytest.approx((low + shift, high + shift), abs=1e-6)
 
 
@@ -204,21 +204,21 @@
     totals = {("a", "d", n): total(0.5 + 0.1 * n) for n in range(5)}
     totals |= {("b", "d", n): total(0.52 + 0.1 * n) for n in range(5)}
     totals |= {("b", "d", 9): total(0.0)}  # the baseline has no such seed
-    rows = {row.figure: row for row in paired.differences(totals, "a", ["a", "b"])}
+    rows = {row.figure: row for row in comparison.differences(totals, "a", ["a", "b"])}
     difference = rows["worth served"]
     assert (difference.variant, difference.pairs, difference.min_pairs_per_day) == ("b", 5, 5)
     assert difference.mean == pytest.approx(2.0) and difference.base == pytest.approx(70.0)
     assert difference.verdict == "told apart" and rows["tries"].verdict == ""
     del totals["a", "d", 0]
-    rows = {row.figure: row for row in paired.differences(totals, "a", ["a", "b"])}
+    rows = {row.figure: row for row in comparison.differences(totals, "a", ["a", "b"])}
     assert rows["worth served"].verdict == "too few seeds"
 
 
 def test_means_are_grouped_by_day_and_variant() -> None:
     worth_served = {("b", "d", 1): 0.5, ("b", "d", 2): 0.7, ("a", "d", 1): 0.9, ("a", "c", 1): 1.0}
-    rows = paired.means({key: total(value) for key, value in worth_served.items()}, ["a", "b"])
+    rows = comparison.means({key: total(value) for key, value in worth_served.items()}, ["a", "b"])
     assert [row[:3] for row in rows] == [("c", "a", 1), ("d", "a", 1), ("d", "b", 2)]
-    served = [row[3][list(paired.FIGURES).index("worth served")] for row in rows]
+    served = [row[3][list(comparison.FIGURES).index("worth served")] for row in rows]
     assert served == pytest.approx([100.0, 90.0, 60.0])
 
 
