--- a/granitepoint/admission.py
+++ b/granitepoint/admission.py
@@ -28,7 +28,7 @@
 MIN_TARGET_FRACTION = 0.35
 # Of the concurrency limit: up to here no call is refused for its utility, and beyond it the limit may grow.
 UNRESTRICTED_FRACTION = 0.8
-OVER_TARGET_FRACTION = 0.2  # of the answers: the fraction over the target at which the limit does not move
+OVER_TARGET_FRACTION = 0.2  # of the answers; with this fraction over the target, the limit stays the same
 # The target is at least this multiple of the mean unloaded latency: with a long-tailed distribution too many
 # answers would exceed a lower one.
 MIN_TARGET_RATIO = 1.75
@@ -171,6 +171,7 @@
 
         With more instances than servers, MIN_CONCURRENCY_LIMIT calls of each instance would overload every
         server. Inner tiers keep their minimum: a refusal there loses the work done in the tiers above.
+        `servers` and `balancers`: how many servers there are, and how many instances call them.
         """
         if self.stage == 0:
             self.min_concurrency_limit = min(
--- a/granitepoint/interface.py
+++ b/granitepoint/interface.py
@@ -43,7 +43,7 @@
 
     SERVING = "serving"
     DRAINING = "draining"
-    GONE = "gone"
+    GONE = "gone"  # removed from the list
 
 
 class ListKind(Enum):
@@ -89,7 +89,7 @@
     """The settings of a class of requests. Raises ValueError for a value out of range."""
 
     name: str
-    worth: float  # the utility, in points, of an answer in time: for each request or unit of its work
+    worth: float  # the utility: points for an answer in time; with `worth_by_work`, per core second of work
     aim: float  # the latency objective: an answer within it has the full utility
     deadline: float  # how long a client waits in total, over all its tries
     late_worth: float = 0.0  # the fraction of the utility that an answer between `aim` and `deadline` has
@@ -139,8 +139,9 @@
     quantum: float = 0.0  # the minimum time between two batches of events
     ask_for_list: bool = False  # changes are requested with a watch; otherwise they are pushed
     must_ask_within: float = 10.0  # the maximum time without a watch or a call to discovery
-    # How long after a change an instance that has not received it is treated as notified. Not a setting of
-    # the configuration: the process that runs the Balancer sets it.
+    # How long after a change an instance counts as notified of it, even if it has not received the change:
+    # from then on it must not use an older list (membership/list_lease.py). Not a setting of the
+    # configuration: the process that runs the Balancer sets it.
     notified_after: float = math.inf
     max_attempts: int = 1  # attempts per request
     may_duplicate: bool = False  # several attempts of a request may be in flight at once
@@ -235,7 +236,7 @@
     cell: int = 0
     state: ServerState = ServerState.SERVING
     weight: float = 1.0  # relative capacity
-    started_at: float = 0.0  # the time of its last start; 0: long ago
+    started_at: float = 0.0  # the time of its last start, on the clock of the event batches; 0: long ago
 
 
 @dataclass(slots=True)
@@ -290,7 +291,9 @@
     resent: bool = False  # the client marked it as a retry
     write: bool = False
     key: str = ""  # identifies the object that the request is about, if there is one
-    stated_timeout: float = 0.0  # how long the client said it waits, from when it sent this try; 0: `budget`
+    # How long the client said it waits, in s from when it sent this try; 0: it did not say, and `budget` is
+    # used instead.
+    stated_timeout: float = 0.0
 
 
 @dataclass(slots=True)
--- a/granitepoint/membership/backoff.py
+++ b/granitepoint/membership/backoff.py
@@ -25,8 +25,9 @@
 MAX_PAUSE = 60.0  # s, the longest pause after a failure of any kind
 MIN_ROUND_LENGTH = 4.0  # s; a round lasts from the start of a call that was queued to the instance's next
 CONSTANT_ROUNDS = 2  # failures in a row before the rounds grow
-# s, the maximum length of a round while the service time is unknown, or where it would allow less.
-DEFAULT_MAX_ROUND_LENGTH = 8.0
+# s to which the rounds may always grow, even if the service is so fast that shorter ones would do. While the
+# service time is unknown they may grow to Backoff.max_pause.
+MIN_MAX_ROUND_LENGTH = 8.0
 # The maximum length of a round, as a multiple of the time in which the service can answer all instances.
 MAX_ROUND_SERVICE_TIMES = 2.0
 
@@ -36,11 +37,11 @@
     """The pause after one kind of failure. Times are in seconds."""
 
     first: float
-    growth: float  # factor per failure in a row; for rounds only after the first CONSTANT_ROUNDS
+    growth: float  # factor per earlier failure in a row; the first CONSTANT_ROUNDS do not lengthen rounds
     maximum: float
     min_fraction: float  # the lower bound of the random factor on the pause; the upper bound is 1
-    # The pause is the length of a round, and the call waits for the instance's phase in it. `maximum` and
-    # `min_fraction` do not apply.
+    # The pause lasts until the instance's phase in a round comes next. `first` is the initial length of the
+    # rounds; `maximum` and `min_fraction` do not apply.
     in_rounds: bool = False
 
 
@@ -73,7 +74,7 @@
         self.random, self.max_pause, self.instances = random, max_pause, instances
         self.phase = (phase + random.random() / instances) % 1.0
         self.failures = 0  # in a row, of kinds whose pause grows
-        self.round_started_at: float | None = None  # the first one: at the first failure; None: none yet
+        self.round_started_at: float | None = None  # round 1 starts at the first failure; None: no failure
         self.round_length = 0.0
         self.min_service_time = math.inf  # the shortest time that an answer took
 
@@ -85,7 +86,7 @@
         call was queued. So the rounds may be longer than necessary, but not too short.
         """
         max_from_service_time = MAX_ROUND_SERVICE_TIMES * self.min_service_time * self.instances
-        return min(self.max_pause, max(DEFAULT_MAX_ROUND_LENGTH, max_from_service_time))
+        return min(self.max_pause, max(MIN_MAX_ROUND_LENGTH, max_from_service_time))
 
     def succeeded(self, service_time: float | None = None) -> None:
         """Resets the number of failures and the rounds.
--- a/granitepoint/membership/evidence.py
+++ b/granitepoint/membership/evidence.py
@@ -1,6 +1,7 @@
 """Classifies how a call to discovery failed, by what the failure proves.
 
-The question for each kind is: could discovery have sent a change to some instance at that moment? A list
+The question for each kind is: could discovery have sent a change of the list to some instance at that moment?
+If not, this instance has missed none, and its list may be used for longer (`list_lease`). A list that arrives
 settles the question, and so does a refused connection: nobody listened. A 503 does not, however soon it came:
 an overloaded discovery rejects some calls at once while it answers others, and one that queues its calls
 sends the same 503 after the wait.
--- a/granitepoint/membership/health_checks.py
+++ b/granitepoint/membership/health_checks.py
@@ -17,12 +17,13 @@
 
 from granitepoint.interface import ServerState
 
-LEASE_DURATION = (
-    5.5  # s; an instance counts as notified of a change after 6 s (list_lease.py), even without receiving it
-)
-# s, the same from the moment at which the instance counts as notified of every change at once.
+# s for which a server has a lease after the list was confirmed last, or after a health check that it passed.
+# An instance counts as notified of a change after 6 s (list_lease.py), even without receiving it.
+LEASE_DURATION = 5.5
+# s, the same for health checks since HealthLeases.cutoff_at, which is CUTOFF_MARGIN before the instance
+# counts as notified of every change.
 NOTIFIED_LEASE_DURATION = 1.0
-CUTOFF_MARGIN = 0.1  # s before that moment at which all earlier leases end
+CUTOFF_MARGIN = 0.1  # s by which earlier leases end before the instance counts as notified of every change
 RENEW_AFTER = 4.5  # s of a lease after which the next health check is due
 CHECK_RETRY_INTERVAL = 0.5  # s until a server that failed its health check is checked again
 MIN_LEASED_SERVERS = 2  # even for a single call: the first server that is checked may be the draining one
@@ -63,8 +64,8 @@
     def lose_confirmation(self, now: float, notified_within: float) -> None:
         """From now on changes may be missed, until the next list.
 
-        `notified_within`: time from now after which the instance counts as notified of every change at once;
-        infinite if that is a fixed time after each change.
+        `notified_within`: time from now until the instance counts as notified of all changes together;
+        infinite if it counts as notified of each change a fixed time after that change.
         """
         self.unconfirmed_since = min(self.unconfirmed_since, now)
         self.cutoff_at = min(self.cutoff_at, now + notified_within - CUTOFF_MARGIN)
--- a/granitepoint/membership/list_lease.py
+++ b/granitepoint/membership/list_lease.py
@@ -17,10 +17,12 @@
 
 # s after which a proxy counts as notified of a change, from when discovery had it and could be reached.
 NOTIFIED_AFTER = 6.0
-# s; the same for changes that a silent watch missed, from the end of the time discovery may hold it.
+# s; the same for changes that a silent watch missed, counted from the moment up to which discovery may hold
+# the call open without an answer.
 NOTIFIED_AFTER_HOLD = 2.0
 MAX_WATCH_GAP = 0.2  # s between an answer and the next call that continues the same watch
-NOTIFIED_AFTER_MOVE = 4.0  # s; the same for all that a new address of discovery has, from the move
+# s; the same for every change that discovery has at a new address, counted from when its address changed.
+NOTIFIED_AFTER_MOVE = 4.0
 # s by which the lease outlasts these times: the part of a drain's grace period that may pass between the
 # decision to send and the first byte.
 GRACE_MARGIN = 0.1
@@ -30,17 +32,17 @@
     """Decides what counts as proof, and until when. Times are in seconds, on the clock of the events."""
 
     def __init__(self, notified_after: float, confirmed: bool = False) -> None:
-        """`notified_after`: the time after a change until the proxy counts as notified of it; 0 if lists are
-        pushed, which are used only while a watch is open; infinite if there is no such time. `confirmed`:
-        every change is received without a call to discovery, so the lease never ends."""
+        """`notified_after`: the time after a change until the proxy counts as notified of it; infinite if it
+        never does; 0 if lists are pushed: then a list is used only while a watch is open. `confirmed`: every
+        change is received without a call to discovery, so the lease never ends."""
         self.notified_after = notified_after
         self.confirmed = confirmed
         # Every change up to this time has been received. A new process knows of no such time.
         self.verified_until = -math.inf
-        self.answered_at = -math.inf  # when the last list came; reset by a move
+        self.answered_at = -math.inf  # when the last list came; -inf: none came from the current address
         # While a watch is open: until then the proxy does not count as notified of changes that it missed.
         self.watch_valid_until = -math.inf
-        # When the proxy counts as notified of everything that the latest address has.
+        # When the proxy counts as notified of every change that discovery has at its latest address.
         self.move_notified_at = -math.inf
         # Until the first list from a new address: until when the list from the old one may be used.
         self.old_list_until: float | None = None
@@ -121,9 +123,9 @@
     def on_move(self, now: float) -> None:
         """Discovery has a new address from `now` on.
 
-        The proxy counts as notified of everything that the new address has NOTIFIED_AFTER_MOVE later, whether
-        it has asked or not, and only a list from that address is proof. Repeated moves do not extend the
-        time.
+        NOTIFIED_AFTER_MOVE later the proxy counts as notified of every change that discovery has there,
+        whether the proxy has asked or not, and only a list from that address is proof. Repeated moves do not
+        extend the time.
         """
         self.move_notified_at = now + NOTIFIED_AFTER_MOVE
         self.old_list_until = min(self._not_notified_until, self.move_notified_at)
--- a/granitepoint/membership/start_times.py
+++ b/granitepoint/membership/start_times.py
@@ -19,7 +19,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-MAX_NEW_START_AGE = 60.0  # s; a start that a later list names for the first time cannot be longer ago
+MAX_NEW_START_AGE = 60.0  # s; a new start in a later list that seems longer ago is treated as just now
 MIN_START_GAP = 1e-3  # s between two starts of the same server
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -12,8 +12,8 @@
 from granitepoint import ListKind, ServerList, Watch
 from granitepoint.membership.backoff import (
     CONSTANT_ROUNDS,
-    DEFAULT_MAX_ROUND_LENGTH,
     MAX_PAUSE,
+    MIN_MAX_ROUND_LENGTH,
     MIN_ROUND_LENGTH,
     OVERLOADED,
     PAUSE_POLICIES,
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize(
     ("instances", "service_time", "maximum"),
-    [(200, 0.001, DEFAULT_MAX_ROUND_LENGTH), (200, 0.04, 16.0), (20, 0.3, 12.0)],
+    [(200, 0.001, MIN_MAX_ROUND_LENGTH), (200, 0.04, 16.0), (20, 0.3, 12.0)],
 )
 def test_after_a_long_outage_the_next_call_is_made_as_soon_as_discovery_can_answer_all(
     instances: int, service_time: float, maximum: float
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -363,7 +363,7 @@
 
 
 def test_after_any_number_of_failures_discovery_is_asked_once_within_the_longest_pause() -> None:
-    """If all instances called sooner, discovery could answer none. Leases cover what changes meanwhile."""
+    """If all instances called sooner, discovery could answer none. Leases limit the use of a stale list."""
     driver = Driver(settings(ask_for_list=True, must_ask_within=60.0))
     driver.wait(2.1)
     for _ in range(12):
@@ -477,7 +477,7 @@
 
 
 def test_a_chain_of_new_instances_sends_a_call_once_at_each_depth() -> None:
-    """28 tiers, 8 ms from one to the next: the first calls take 0.22 s, and this is no sign of a failure."""
+    """28 tiers with a round trip of 8 ms each: the first calls take 0.22 s, which is no sign of a failure."""
     depth, hop_delay = 28, 0.004
     cls = RequestClass("safe", worth=1, aim=1.5, deadline=5.0)
     tiers = [
@@ -657,7 +657,7 @@
 
 
 def test_the_calls_of_a_hung_server_stay_counted() -> None:
-    """The server answered nothing that was sent after them, so the server is at fault, not a connection."""
+    """The server has answered no later call either, so the server is at fault and not a connection."""
     driver = Driver(settings(), servers=entries(1))
     for call in range(30):
         driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
@@ -693,7 +693,7 @@
 
 
 def test_a_report_of_fewer_calls_than_are_in_flight_reveals_a_silent_connection() -> None:
-    """Where a server gets few calls, no later one may be answered for long, so the server is probed."""
+    """With few calls it may be long until the server answers a later one, so the server is probed."""
     driver = Driver(settings(may_probe=True), servers=entries(1))
     for call in range(30):
         driver.finish(only_send(driver.arrive(call, "once")), Status.OK)
