--- a/granitepoint/__main__.py
+++ b/granitepoint/__main__.py
@@ -18,15 +18,17 @@
 
 log = logs.EventLogger("granitepoint.main")
 
-# Graceful shutdown. The platform sends SIGKILL when the longest deadline of the classes, at most
-# SHUTDOWN_MAX_DEADLINE_S, and then SHUTDOWN_KILL_DELAY_S have passed since SIGTERM.
+# Graceful shutdown. The time that the platform leaves between SIGTERM and SIGKILL is the longest deadline of
+# the classes, but at most SHUTDOWN_MAX_DEADLINE_S, plus SHUTDOWN_KILL_DELAY_S.
+
 # From SIGTERM until the listener closes. By then the front, which distributes the clients' calls over the
 # proxies, has noticed the shutdown.
 SHUTDOWN_ACCEPT_S = 0.6
 SHUTDOWN_MAX_DEADLINE_S = 3.0
 SHUTDOWN_KILL_DELAY_S = 0.7
 SHUTDOWN_KILL_MARGIN_S = 0.4  # before SIGKILL; every request is answered this long before it, at the latest
-# The last phase before every request has to be answered; in it each answer closes its connection.
+# Length of the last phase of the shutdown, in which each answer closes its connection. It ends when every
+# request has to be answered.
 SHUTDOWN_CLOSING_S = 1.0
 SHUTDOWN_PARTIAL_REQUEST_S = 0.2  # from the start of that phase, for partial requests to become complete
 SHUTDOWN_POLL_INTERVAL_S = 0.01  # between checks whether every request is answered
@@ -115,7 +117,9 @@
 
 def run() -> int:
     """Runs one proxy; returns the exit code: 2 for an invalid configuration, 1 for another start error."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until serve() handles it; load() reads the new file anyway
+    # Ignored until serve() handles it, as its default action would end the process. One that comes before
+    # load() is not needed: load() reads the new file anyway.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ)
         logs.configure(sys.stderr, *config.log_options)
--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -18,7 +18,7 @@
 
 Fields = dict[str, str]  # the name=value pairs of a line, or the path=value pairs of the settings
 
-# Values on the wire or in the settings -> values of the balancer.
+# Values in the simulator's lines or in the settings -> values of the balancer.
 SERVER_STATES = {
     "SERVING": api.ServerState.SERVING,
     "DRAINING": api.ServerState.DRAINING,
@@ -32,9 +32,9 @@
 }
 REPORT_NAMES = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")  # of a load report
 WEIGHT_MEANINGS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
-UTILITY_UNITS = {"work": "work", "request": "request"}
-REPORT_CHANNELS = {"inline": "answer", "on_probe": "probe", "off": "none"}
-# These tags never stand where an event may stand: there they are an error, while unknown tags are ignored.
+UTILITY_UNITS = {"work": "work", "request": "request"}  # a class's utility is per request or unit of work
+REPORT_CHANNELS = {"inline": "answer", "on_probe": "probe", "off": "none"}  # how load reports arrive
+# Tags that are an error where an event is expected, as they belong elsewhere. Unknown tags are ignored there.
 NON_EVENT_TAGS = ("m", "tick", "eor")
 
 
@@ -354,7 +354,7 @@
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         self.source, self.sink = source, sink
         self.instances: dict[str, Balancer] = {}
-        self.lists: dict[int, list[api.ServerEntry]] = {}  # by slot
+        self.lists: dict[int, list[api.ServerEntry]] = {}  # by the slot number that refers to the list
         self.pending: dict[str, list[api.Event]] = {}  # events of the current batch, by instance
         self.replies: list[str] = []  # lines that answer the current batch
         self.line = ""  # the latest line read, for error messages
@@ -394,7 +394,7 @@
             self.replies.clear()
 
     def read_batch(self) -> None:
-        """Reads the events of one batch, up to your_turn, and queues them by instance."""
+        """Reads the events of one batch, up to the line `your_turn`, and queues them by instance."""
         readers, pending, readline = EVENT_READERS, self.pending, self.source.readline
         while True:
             line = readline()
@@ -436,7 +436,7 @@
                 raise WireError("expected an event")
 
     def on_manifest(self, fields: Fields) -> None:
-        """Reads the entries of a server list into a slot."""
+        """Reads a server list and stores it under its slot number, by which later lines refer to it."""
         count = _int(fields, "nodes_list")
         if count < 0:
             raise WireError(f"field nodes_list is out of range: {count}")
@@ -450,7 +450,7 @@
         self.lists[slot] = entries
 
     def on_list(self, fields: Fields) -> None:
-        """Queues the server list in a slot, or the failure to get one, for an instance."""
+        """Queues a stored server list, or the failure to get one, for an instance."""
         who = _text(fields, "who")
         scope = _text(fields, "scope")
         if scope not in LIST_KINDS:
--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -33,7 +33,7 @@
     seed: int  # of the random number generators
     sockets: int  # limit of open file descriptors
     memory_mb: float
-    known: Mapping[str, Any]  # the last known list of servers, in discovery's format
+    known: Mapping[str, Any]  # list of servers to start with: the last known one, in discovery's format
     settings: Settings
     log_options: tuple[logs.Format, int] = (logs.Format.TEXT, logging.INFO)  # format and minimum level
 
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -37,7 +37,9 @@
 CONFIRM_HOLD_MS = 50
 # After which a call with CONFIRM_HOLD_MS counts as dead; its queueing and hold take 2.5 s at most.
 CONFIRM_TIMEOUT_S = 3.2
-CALL_TIMEOUT_S = 4.0  # in addition to the hold of a call; calls wait in the queue of discovery
+# In addition to the hold of a call (how long discovery may leave it unanswered while nothing changes), as
+# calls wait in the queue of discovery.
+CALL_TIMEOUT_S = 4.0
 MIN_CALL_SPACING_S = 0.05  # between the starts of two calls of a watch, in case each is answered at once
 # Between tries to open a watch on pushed lists; short, as pushed changes count as notified at once.
 PUSH_RETRY_DELAY_S = 0.15
@@ -61,7 +63,7 @@
     started_at: float  # monotonic
     hold: float = 0.0  # seconds for which discovery may leave it unanswered while nothing changes
     continued: bool = False  # it follows the answer of a watch directly, and continues that watch
-    previous_unqueued: bool = False  # the answer before it had not waited in the queue of discovery
+    previous_unqueued: bool = False  # the previous answer came without a wait in discovery's queue
     since_version: int | None = None  # changes since this version are requested; None: the full list
     is_watch: bool = True  # False for a separate request of the full list
 
@@ -71,7 +73,8 @@
 
     On its own it only keeps a watch going: it makes the next call when one has been answered, or got no
     answer in time, retries the first call to a new address, and verifies the list after a move. Where lists
-    are pushed the balancer requests nothing, and a watch that fails is opened again at once.
+    are pushed (the setting ask_for_list is off) the balancer requests nothing, and a watch that fails is
+    opened again at once.
     """
 
     def __init__(
@@ -90,7 +93,7 @@
         self.version: int | None = version  # None: request the full list
         self.history = VersionHistory(version)
         self.start_times = start_times or StartTimes()
-        self.moving = False  # no list has come from the new address yet
+        self.moving = False  # discovery has a new address, and no list has come from it yet
         self.on_list, self.on_failed = on_list, on_failed
         self.on_evidence = on_evidence  # called with all events that affect the lease on the list
         # For the retries that this client makes by itself, on a watch or at a new address.
@@ -315,7 +318,7 @@
         return True
 
     def _continues_history(self, listing: Listing) -> bool:
-        """Returns whether the first list of a new address fits the history of the current list."""
+        """Whether the first list of a new address continues the version history of the current list."""
         servers = [listed.entry.server for listed in listing.backends]
         if listing.full or self.history.is_continued_by(listing.version, servers):
             return True
--- a/granitepoint/net/discovery_channel.py
+++ b/granitepoint/net/discovery_channel.py
@@ -11,7 +11,7 @@
 from granitepoint.net.config import Address
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 8 << 20  # limit of an answer as received, and of its body alone
+MAX_ANSWER_BYTES = 8 << 20  # limit of the bytes received for an answer, and of its decoded body
 
 
 class Channel(asyncio.Protocol):
@@ -28,7 +28,7 @@
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Stores the transport of the new connection."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fails the call in progress, if there is one."""
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -44,7 +44,7 @@
 # Upper limit of MIN_ANSWER_MARGIN_S and BALANCER_MARGIN_S, as a share of the call's budget: along a chain of
 # calls the margins of all proxies add up.
 MAX_MARGIN_SHARE = 0.02
-LAG_DECAY = 0.995  # factor by which the measured event loop lag decays at each timer
+LAG_DECAY = 0.995  # factor by which loop_lag decays whenever a timer of the balancer fires
 AT_CAPACITY_RETRY_AFTER_S = 1.0  # Retry-After of a refusal at the limit of open calls or connections
 MAX_CONCURRENT_PROBES = 32
 MAX_REPORT_VALUE = 1e6  # in any unit; a larger value is implausible, and would outweigh all other reports
@@ -112,6 +112,7 @@
         notified_after = 0.0 if pushed else min(NOTIFIED_AFTER, config.settings.must_ask_within)
         self.settings = replace(config.settings, notified_after=notified_after)
         self.config = config
+        # By class name; an Effect says what happens if a request is executed a second time.
         self.effects = {cls.name: cls.effect for cls in self.settings.classes}
         self.deadlines = {cls.name: cls.deadline for cls in self.settings.classes}
         self.balancer = Balancer(self.settings, config.seed)
@@ -300,7 +301,7 @@
 
     def _on_idle_connection_closed(self, upstream: Upstream, idle_for: float) -> None:
         for server, listed in self.upstreams.by_id.items():
-            if listed is upstream and upstream.serving:  # a draining server closes all its connections
+            if listed is upstream and upstream.serving:  # a draining server closes connections of any age
                 self._enqueue(api.IdleConnectionClosed(server, idle_for))
 
     # calls
@@ -407,7 +408,8 @@
     def _send(self, action: api.Send) -> None:
         call = self.calls.get(action.call)
         if call is None:
-            # The call ended after the balancer had got the batch. It expects an outcome for every Send.
+            # The call ended after the balancer had received its events.
+            # The balancer expects an outcome for every Send.
             self._enqueue(api.Outcome(action.call, 0, action.server, api.Status.MOOT, 0.0, True))
             return
         attempt_number = call.attempts
--- a/granitepoint/net/listener.py
+++ b/granitepoint/net/listener.py
@@ -45,7 +45,7 @@
         """
         self.loop = asyncio.get_running_loop()
         self.protocol_factory, self.evict_connection = protocol_factory, evict_connection
-        # Given a host, even a numeric one, the loop would start four threads to resolve it and keep them.
+        # The loop's create_server() would resolve even a numeric host, in four threads that then stay.
         self.socket = socket.create_server((host, port), backlog=BACKLOG)
         self.socket.setblocking(False)
         self.port = int(self.socket.getsockname()[1])
--- a/granitepoint/net/listing.py
+++ b/granitepoint/net/listing.py
@@ -39,14 +39,14 @@
     full: bool
     backends: list[ListedBackend]
     written_after: float | None = None  # monotonic; earliest time at which it was written; None: unknown
-    # The answered call is the newest one of the watch; if not, the newest one may still be open.
+    # Whether the list answers the newest call of the watch. If not, that call may still be open.
     answers_newest_call: bool = True
     # Seconds that discovery needed, without the time for which it held the call; None: unknown.
     service_time: float | None = None
 
 
 def server_id(name: str) -> int:
-    """Returns the balancer's number of a backend.
+    """Returns the number by which the balancer identifies a backend.
 
     It is the same at every proxy, as all proxies have to build the same hash ring.
     """
@@ -56,7 +56,7 @@
 def read_listing(document: object, start_times: StartTimes | None = None) -> Listing:
     """Parses a list of discovery. Raises ValueError if it is malformed.
 
-    `start_times` holds the starts of servers that earlier lists have named, and is updated.
+    `start_times` holds the start times of the servers in earlier lists, and is updated.
     """
     try:
         if not isinstance(document, Mapping):
--- a/granitepoint/net/logs.py
+++ b/granitepoint/net/logs.py
@@ -19,7 +19,8 @@
 
 MAX_LINES_PER_EVENT = 20  # in each rate-limit window
 RATE_LIMIT_WINDOW_S = 10.0
-INVALID_KEY_CHARACTERS = re.compile(r"[^\w.-]+", re.ASCII)  # a key may contain a class name
+# Replaced by `_` in the keys of a text line: a key may contain the name of a request class.
+INVALID_KEY_CHARACTERS = re.compile(r"[^\w.-]+", re.ASCII)
 UNQUOTED_VALUE = re.compile(r"[!#-<>-~]+")  # matches a value that needs no quotes
 MAX_VALUE_CHARACTERS = 400  # longer text, for example from a peer, is truncated
 
--- a/granitepoint/net/server.py
+++ b/granitepoint/net/server.py
@@ -217,7 +217,8 @@
         self.discarding_input = False
         self.closing = False  # the last answer has been written
         self.over_limit = False  # requests are refused: no connection capacity, or the end of the shutdown
-        self.table: dict[ClientConnection, None] | None = None  # one of the server's tables
+        # The table of the server that it is in, by what it waits for (see Server).
+        self.table: dict[ClientConnection, None] | None = None
         self.table_since = 0.0  # s, monotonic, of the move to that table
         self.write_blocked = False  # the write buffer is full because the peer does not read
         self.reading_paused = False
@@ -225,7 +226,7 @@
     # Transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Registers the new connection with the server."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's does not inherit from it
         self.parser = httptools.HttpRequestParser(self)
         self.server.add(self)
 
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -219,6 +219,7 @@
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
         self.bytes_received = self.body_size = 0  # of the current answer: on the wire, and of its body
+        # body_until_close: the answer states no length, so its body ends with the connection.
         self.headers_complete = self.body_until_close = False
         # Code of an answer that is complete but not delivered yet, and whether the connection can be kept.
         self.pending_answer: tuple[int, bool] | None = None
@@ -230,7 +231,7 @@
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Counts the new connection."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
         self.connected_at = time.monotonic()
         self.upstream.owner.open_connections += 1
         self.upstream.owner.counts["opened"] += 1
@@ -457,6 +458,7 @@
         been idle for more than `max_idle_age` seconds are closed.
         """
         now = time.monotonic()
+        # Limits of idle_since: below the first a connection is closed, above the second it is a last resort.
         min_idle_since, max_idle_since = now - min(self.owner.idle_timeout, max_idle_age), now - REUSE_DELAY_S
         while self.idle:
             index = len(self.idle) - 1
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -136,7 +136,7 @@
 
 
 class Discovery:
-    """A discovery service: answers with each published change, or with none when the hold time is over."""
+    """A discovery service: answers with each published change, or with none after `hold_ms` of the call."""
 
     def __init__(self) -> None:
         self.changes: asyncio.Queue[bytes] = asyncio.Queue()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -384,8 +384,8 @@
 
 
 def test_one_reset_connection_does_not_eject_a_live_backend() -> None:
-    """The backend has just answered other calls. Four concurrent calls go to both backends; if the first one
-    was ejected, all would go to the other."""
+    """The backend has just answered other calls. Four concurrent calls go to both backends; if the one that
+    reset a connection was ejected, all would go to the other."""
 
     async def test() -> None:
         release = asyncio.Event()
@@ -423,8 +423,8 @@
 
 
 def test_a_class_that_one_backend_rejects_goes_to_the_other() -> None:
-    """The backend serves the other classes and so looks idle. Its rejections come at once here; elsewhere
-    they may be slow."""
+    """The backend serves the other classes, and by its load alone it looks idle. In this test it rejects at
+    once; other backends may take longer to reject."""
 
     async def test() -> None:
         rejected = 0
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,5 +1,8 @@
 """The client of discovery on real sockets: calls that are never answered, fail, or are answered out of
-order."""
+order.
+
+A change counts as notified some seconds after discovery had it, whether or not the client has received it.
+"""
 
 from __future__ import annotations
 
@@ -183,7 +186,7 @@
 
 
 def test_a_first_list_is_not_requested_twice_while_the_call_is_queued() -> None:
-    """All proxies move at once, and twice the calls would take twice as long."""
+    """All proxies call a new address at once; twice the calls would wait twice as long in its queue."""
     assert (
         discovery_module.MOVE_RETRY_AFTER_S * (1 - discovery_module.TIMEOUT_JITTER)
         > MAX_QUEUE_TIME * 0.9
@@ -230,7 +233,7 @@
 def test_a_failed_renewal_is_retried_while_the_earlier_call_is_still_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The balancer's delay after a failure would be longer than the time that is left."""
+    """The balancer would retry only after what the dead watch misses counts as notified."""
     set_watch_timeouts(monkeypatch, 0.05)
     monkeypatch.setitem(backoff.PAUSE_POLICIES, Failure.IMMEDIATE, backoff.PausePolicy(0.01, 1.0, 0.01, 1.0))
 
@@ -400,7 +403,8 @@
 def test_after_all_tries_of_a_first_list_failed_the_balancer_can_request_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The watch that retried by itself has ended, and it had replaced one that a second move cancelled."""
+    """The second move replaces the watch of the first. Its watch retries by itself, then reports the failure
+    and ends, and the balancer opens another one."""
     monkeypatch.setattr(
         discovery_module, "Backoff", lambda random, **rest: backoff.Backoff(random, max_pause=0.001)
     )
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -635,7 +635,7 @@
 
 
 async def start_shutdown(proxy: InProcessProxy) -> asyncio.Task[None]:
-    """Starts the graceful shutdown and waits for its last phase: each answer closes its connection."""
+    """Starts the graceful shutdown; waits for its last phase, in which each answer closes its connection."""
     shutdown = asyncio.ensure_future(drain(proxy.server, proxy.driver))
     await proxy.wait_until(lambda: proxy.server.draining)
     return shutdown
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("behave", [error, reset, cut_short, garbage, twice, silent])
 def test_an_unsafe_call_that_may_have_run_fails_after_one_attempt(behave: Any) -> None:
-    """Rule 2: only a marked rejection proves that a call never ran.
+    """Rule 2, on repeated execution: only a marked rejection proves that a call never ran.
 
     After any other end a resend could run the call twice, and a refusal would wrongly say that it never ran.
     """
@@ -139,7 +139,7 @@
 
 
 def test_a_keyed_call_that_may_have_run_is_resent_only_within_its_zone() -> None:
-    """Rule 2 for keyed calls: only backends of the same zone drop each other's repeats.
+    """Rule 2, on repeated execution: backends drop repeats of keyed calls only within their zone.
 
     A resend to another zone would run the call a second time.
     """
@@ -243,7 +243,7 @@
 
 
 def test_a_late_answer_is_discarded() -> None:
-    """A timed-out attempt closes its connection, or its answer would be taken for that of the next call."""
+    """A timed-out attempt closes its connection; else its answer would be taken for that of the next call."""
 
     async def test() -> None:
         held: list[asyncio.StreamWriter] = []
@@ -519,7 +519,7 @@
 
 
 def test_refusals_at_capacity_have_no_retry_after_if_the_settings_forbid_it() -> None:
-    """Refusals by the connection limit and by the limit of open calls have no Retry-After of their own."""
+    """Refusals by the connection limit and the limit of open calls bypass the balancer, not the settings."""
 
     async def test() -> None:
         release = asyncio.Event()
@@ -551,7 +551,7 @@
 
 
 def test_refused_connections_free_no_capacity_for_other_callers() -> None:
-    """They connect while the process is stopped, so each is accepted while the one before is still closing.
+    """The callers connect while the process is stopped, so each is accepted before the previous has closed.
 
     Evicting one of the refused connections must not count as capacity for another served one.
     """
