--- a/granitepoint/emulator/__init__.py
+++ b/granitepoint/emulator/__init__.py
@@ -1,4 +1,5 @@
-"""A world in simulated time round the real decision module: clients, servers in tiers, lists and troubles.
+"""The emulator: plays a day (one scenario) with the real decision module in simulated time.
 
-Neither the proxy nor the simulator's adapter imports it.
+It models clients, tiers of servers, service discovery and faults. The proxy and the adapter for the simulator
+don't import this package.
 """
--- a/granitepoint/emulator/__main__.py
+++ b/granitepoint/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m granitepoint.emulator`."""
+"""Command line entry point: `python -m granitepoint.emulator`."""
 
 import sys
 
@@ -6,7 +6,9 @@
 
 from granitepoint.emulator.command import emulate
 
-app = cyclopts.App(name="python -m granitepoint.emulator", help="The operators' world in simulated time.")
+app = cyclopts.App(
+    name="python -m granitepoint.emulator", help="Plays a day (one scenario) in simulated time."
+)
 app.default(emulate)
 
 if __name__ == "__main__":
--- a/granitepoint/emulator/calls.py
+++ b/granitepoint/emulator/calls.py
@@ -1,4 +1,8 @@
-"""What travels through the world: a client's request, a call to an instance, an attempt at a server."""
+"""Requests of clients, calls to instances and attempts at servers.
+
+A client's request leads to one or more tries. Each try is a call to a proxy; a server's call to the next tier is
+one too. An instance sends each call to servers in one or more attempts.
+"""
 
 from __future__ import annotations
 
@@ -17,20 +21,23 @@
 
 
 class CallResult(Enum):
-    """How a call ended, as its asker sees it."""
+    """How a call ended, as its caller sees it."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # no instance could be reached, or it died with the call
+    LOST = "lost"  # no instance could be reached, or it terminated with the call in progress
 
 
 class Request:
-    """What a client wants, over all its tries. Times in simulated seconds, work in core seconds."""
+    """A client's request over all its tries.
+
+    Times are in simulated seconds, work is in seconds of a standard core.
+    """
 
     __slots__ = (
-        "created_at", "cls", "deadline", "ended", "honors_retry_after", "number", "random", "tenant", "tries", "window",
-        "work", "utility", "zone",
+        "cls", "created_at", "deadline", "ended", "honors_retry_after", "number", "random", "tenant", "tries",
+        "utility", "window", "work", "zone",
     )  # fmt: skip
 
     def __init__(
@@ -48,74 +55,82 @@
             number, cls, tenant, zone, created_at, work,
         )  # fmt: skip
         self.window = window
-        self.random = random  # of all that its calls cost, so that runs of other decisions meet the same
+        # Draws everything random about its calls, so that runs with other decisions get the same values.
+        self.random = random
         self.deadline = created_at + cls.deadline_ms / 1e3
         self.utility = cls.worth
-        self.honors_retry_after = True  # stays away as long as it is told
+        self.honors_retry_after = True  # whether the client waits as long as a refusal's Retry-After says
         self.tries = 0
         self.ended = False
 
 
 class Call:
-    """One call to an instance, from a client or from a server of the tier above."""
+    """One call to an instance, from a client or from a server of the previous tier."""
 
     __slots__ = (
-        "caller", "attempts", "deadline", "ended", "event", "id", "instance", "calling_attempt", "in_flight", "request",
-        "work",
+        "attempts", "caller", "calling_attempt", "deadline", "ended", "event", "id", "in_flight", "instance",
+        "request", "work",
     )  # fmt: skip
 
     def __init__(self, id: int, request: Request, caller: Caller, budget: float, work: float) -> None:
         self.id, self.request, self.caller = id, request, caller
-        self.work = work  # core seconds, of which a tier does its share
+        self.work = work  # core seconds; each tier does its configured share of it
         self.event = Arrival(id, request.cls.name, budget, request.tenant)
-        self.deadline = math.inf  # set when an instance takes it
+        self.deadline = math.inf  # set when an instance accepts the call
         self.attempts: list[Attempt] = []
-        self.in_flight = 0  # attempts that have no outcome yet
+        self.in_flight = 0  # attempts without an outcome
         self.ended = False
-        self.calling_attempt: Attempt | None = None  # at the server that asks
+        self.calling_attempt: Attempt | None = (
+            None  # at the server that makes the call; None: a client's call
+        )
         self.instance: Instance | None = None
 
 
 class Caller(Protocol):
+    """Makes calls: the clients, or a server of the previous tier."""
+
     def on_call_ended(
         self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
     ) -> None:
-        """The one end of a call; `attempt` is the one that served it."""
+        """Handle the end of a call, once for each call.
+
+        `retry_after` is in seconds, `attempt` is the attempt that served the call.
+        """
 
 
 class AttemptState(Enum):
-    """Of an attempt, at its server."""
+    """State of an attempt at its server."""
 
-    IN_TRANSIT = 0  # on its way there, or turned away
-    QUEUED = 1  # for a slot
+    IN_TRANSIT = 0  # on the way to the server, or rejected by it
+    QUEUED = 1  # waits for a slot
     RUNNING = 2
-    CALLING = 3  # the next tier
+    CALLING = 3  # waits for its call to the next tier
     FINISHED = 4
 
 
 class Attempt:
-    """One execution, or a try at one, of a call at a server."""
+    """One attempt to execute a call at a server. Times in simulated seconds, work in core seconds."""
 
     __slots__ = (
         "call",
-        "remaining_calls",
         "deadline",
         "finish_progress",
+        "handshake_work",
+        "idle_for",
+        "incarnation",
+        "inner_attempts",
         "inner_call",
         "instance",
-        "inner_attempts",
-        "incarnation",
         "number",
-        "handshake_work",
+        "remaining_calls",
         "reply_status",
-        "work_after_calls",
-        "idle_for",
         "sent_at",
         "server",
         "state",
         "status",
-        "work_spent",
         "work",
+        "work_after_calls",
+        "work_spent",
     )  # fmt: skip
 
     def __init__(
@@ -123,24 +138,25 @@
     ) -> None:
         self.call, self.number, self.instance, self.server = call, number, instance, server
         self.sent_at, self.deadline = sent_at, deadline
-        self.incarnation = server.incarnation  # of the process that its connection leads to
-        self.idle_for = 0.0  # s that its connection had not been used; 0: a new one
-        self.status = -1  # still out
-        self.reply_status = -1  # the status on its way back
+        self.incarnation = (
+            server.incarnation
+        )  # incarnation of the server process that its connection leads to; -1: no connection
+        self.idle_for = 0.0  # s that its connection was idle before; 0: a new connection
+        self.status = -1  # -1: in flight
+        self.reply_status = -1  # status that the server has answered, before the answer arrives; -1: none
         self.state = AttemptState.IN_TRANSIT
-        self.handshake_work = 0.0  # work of its connection's handshake
-        self.work = self.work_after_calls = (
-            0.0  # core seconds of the part at hand, and of the part after the calls
-        )
-        self.finish_progress = 0.0  # the server's progress at which the part at hand is done
-        self.work_spent = 0.0  # core seconds spent on it
+        self.handshake_work = 0.0  # core seconds for the handshake of its connection
+        # Core seconds of the current phase, and of the phase after its calls.
+        self.work = self.work_after_calls = 0.0
+        self.finish_progress = 0.0  # Server.progress at which the current phase is done
+        self.work_spent = 0.0  # core seconds that the server spent on it, without the handshake
         self.remaining_calls = 0
-        self.inner_call: Call | None = None  # out to the next tier
-        self.inner_attempts: list[Attempt] = []  # that served its calls
+        self.inner_call: Call | None = None  # the call to the next tier in progress
+        self.inner_attempts: list[Attempt] = []  # attempts that served its calls to the next tier
 
 
 def draw(random: Random, dist: str, mean: float, cv: float) -> float:
-    """A positive figure of that mean and coefficient of variation."""
+    """Draw a positive number with this mean and coefficient of variation."""
     if dist == "fixed" or cv <= 0:
         return mean
     if dist == "pareto":
--- a/granitepoint/emulator/clients.py
+++ b/granitepoint/emulator/clients.py
@@ -1,4 +1,7 @@
-"""The clients: first tries drawn ahead of any answer, retries, and the front that spreads them."""
+"""The clients: their requests, retries, and the front that distributes calls over the proxies.
+
+First tries are an open loop: they depend on the seed alone, not on any answer.
+"""
 
 from __future__ import annotations
 
@@ -13,22 +16,26 @@
 if TYPE_CHECKING:
     from granitepoint.emulator.world import World
 
-MIN_BUDGET = 0.01  # s; a try that could have less is not made
-QUOTA_BURST = 1.0  # s of a tenant's quota that may come at once
+MIN_BUDGET = 0.01  # s; a client doesn't start a try with less time left
+QUOTA_BURST = 1.0  # s; a tenant's token bucket holds its quota of this time
 
 
 class Clients:
-    """Open loop: what comes depends on the seed alone."""
+    """All clients of the day.
+
+    `random` draws the first tries, `retry_random` what follows: proxies, retries and clients that leave.
+    """
 
     def __init__(self, world: World, random: Random, retry_random: Random) -> None:
         self.world, self.loop, self.tally, self.day = world, world.loop, world.tally, world.day
-        self.random, self.retry_random = random, retry_random  # of first tries; of what follows
+        self.random, self.retry_random = random, retry_random
         self.behavior = self.day.clients
         self.network_delay = self.day.network.client_ms / 1e3
         self.base_rate = self.day.rate()
         factors = [factor for _, factor in self.day.traffic.shape] or [1 + self.day.traffic.swing]
         self.burst_factor: float = 1.0
-        self.heavy_tails: dict[tuple[str, int], tuple[float, float]] = {}  # by class and tier: share, times
+        # (class, tier): (share of calls, factor of their work)
+        self.heavy_tails: dict[tuple[str, int], tuple[float, float]] = {}
         bursts = [fault.times for fault in self.day.troubles if isinstance(fault, Burst)]
         self.max_rate = self.base_rate * max(factors) * max([1.0, *bursts])
         self.class_shares = [cls.share for cls in self.day.classes]
@@ -36,13 +43,14 @@
         self.quotas = {t.name: t.quota * self.day.capacity() for t in self.day.tenants}
         self.quota_tokens = {name: quota * QUOTA_BURST for name, quota in self.quotas.items()}
         self.quota_updated_at = dict.fromkeys(self.quotas, 0.0)
-        self.shape_index = 0  # in the shape
+        self.shape_index = 0  # of the last point of `traffic.shape` that has been reached
 
     def start(self) -> None:
+        """Schedule the first arrival."""
         self._schedule_arrival(None)
 
     def rate(self, now: float) -> float:
-        """First tries each second."""
+        """Rate of first tries at this time, per second."""
         traffic = self.day.traffic
         if traffic.shape:
             factor = self._shape_factor(now)
@@ -64,7 +72,7 @@
         return factor + (next_factor - factor) * (now - start) / (end - start)
 
     def _schedule_arrival(self, _: object) -> None:
-        """Arrivals at the highest rate, thinned to the present one."""
+        """Schedule the next arrival at the highest rate; `_on_arrival` thins arrivals to the present rate."""
         now = self.loop.now
         due = now + self.random.expovariate(self.max_rate)
         if due < self.day.duration_s:
@@ -95,7 +103,7 @@
         self._send_try(request)
 
     def draw_work(self, cls: Class, depth: int, random: Random) -> float:
-        """Core seconds of a call to that tier. Each call of a class has a draw of its own."""
+        """Draw the core seconds of a call to the tier `depth`; every call is drawn independently."""
         work = draw(random, cls.dist, cls.work_ms / 1e3, cls.cv)
         if self.heavy_tails:
             share, times = self.heavy_tails.get((cls.name, depth), (0.0, 1.0))
@@ -144,7 +152,7 @@
     def on_call_ended(
         self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
     ) -> None:
-        """One try has ended; the client hears of it a little later."""
+        """Handle the end of a try. The client receives it after the network delay."""
         request = call.request
         received_at = self.loop.now + self.network_delay
         elapsed = received_at - request.created_at
@@ -167,7 +175,7 @@
 
     @staticmethod
     def _may_repeat(request: Request, now: float) -> bool:
-        """Whether it may be sent again though it may have run."""
+        """Whether the request may be sent again although it may have been executed."""
         cls = request.cls
         if cls.effect == "by_key":
             return cls.group == "all" and now < request.created_at + cls.window_ms / 1e3
@@ -176,7 +184,7 @@
     def _next_try_at(
         self, request: Request, result: CallResult, received_at: float, retry_after: float
     ) -> float:
-        """When the next try begins; never, if none is due."""
+        """Time of the next try; infinite if the client doesn't try again."""
         behavior = self.behavior
         allowed = result in (CallResult.REFUSED, CallResult.LOST) or self._may_repeat(request, received_at)
         if request.tries > behavior.retries or not allowed:
@@ -191,7 +199,10 @@
 
 
 class Front:
-    """Spreads clients over the proxies of their zone; it knows late of one that has ended."""
+    """Distributes calls over the proxies of the client's zone, or over all if the zone has none.
+
+    It notices after `front.notice_s` that a proxy has terminated.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -200,10 +211,12 @@
         self.proxies_by_zone: dict[str, list[Instance]] = {}
 
     def add(self, proxy: Instance) -> None:
+        """Add a proxy that gets calls from now on."""
         self.proxies.append(proxy)
         self.proxies_by_zone.setdefault(proxy.zone, []).append(proxy)
 
     def on_proxy_lost(self, proxy: Instance) -> None:
+        """Remove a terminated proxy after the delay, unless it has been restarted by then."""
         self.loop.call_at(
             self.loop.now + self.world.day.front.notice_s, self._remove, (proxy, proxy.incarnation)
         )
@@ -215,9 +228,11 @@
             self.proxies_by_zone[proxy.zone].remove(proxy)
 
     def on_proxy_back(self, proxy: Instance) -> None:
+        """Add a restarted proxy again."""
         if proxy not in self.proxies:
             self.add(proxy)
 
     def choose(self, zone: str, random: Random) -> Instance | None:
+        """Choose a proxy at random for a client in the zone; None if no proxy is known."""
         candidates = self.proxies_by_zone.get(zone) or self.proxies
         return candidates[int(random.random() * len(candidates))] if candidates else None
--- a/granitepoint/emulator/command.py
+++ b/granitepoint/emulator/command.py
@@ -1,4 +1,4 @@
-"""The command: `python -m granitepoint.emulator DAY.toml [--json FILE] [--seed N]`."""
+"""The command `python -m granitepoint.emulator DAY.toml [--json FILE] [--seed N]`."""
 
 from __future__ import annotations
 
@@ -21,12 +21,15 @@
 def emulate(
     day: Path,
     *,
-    json: Annotated[Path | None, cyclopts.Parameter(help="file of the results, a record a line")] = None,
-    seed: Annotated[int | None, cyclopts.Parameter(help="in place of the day's own")] = None,
+    json: Annotated[
+        Path | None, cyclopts.Parameter(help="write the results to this file, one record per line")
+    ] = None,
+    seed: Annotated[int | None, cyclopts.Parameter(help="random seed, overrides that of the day")] = None,
 ) -> int:
-    """Run one day in simulated time: a TOML file, or a day that the simulator drew (.json).
+    """Play a day (one scenario) in simulated time.
 
-    The results go to standard output, how long it took to standard error. Returns the exit code.
+    DAY is a TOML file, or a day that the simulator generated (.json). The results go to standard output, the
+    run time to standard error. Returns the exit code.
     """
     try:
         loaded_day = drawn.load(day) if day.suffix == ".json" else load(day)
@@ -49,8 +52,8 @@
     calls = sum(record.calls for record in records if isinstance(record, tally.Total))
     print(tally.text(records), end="")
     print(
-        f"{elapsed:.1f} s ({build_time:.1f} s of it to build), {cpu_time:.1f} s of a core, {calls / max(cpu_time, 1e-9):.0f} "
-        "calls for each second of it",
+        f"{elapsed:.1f} s ({build_time:.1f} s of it to build), {cpu_time:.1f} s CPU time, "
+        f"{calls / max(cpu_time, 1e-9):.0f} calls per second of CPU time",
         file=sys.stderr,
     )
     return 0
--- a/granitepoint/emulator/day.py
+++ b/granitepoint/emulator/day.py
@@ -1,4 +1,7 @@
-"""A day: sizes, rates, behaviour and troubles, read from a TOML file. A key's last part names its unit."""
+"""Configuration of a day (one scenario that is played), read from a TOML file.
+
+A day describes the fleet, the traffic, the behavior of clients and the faults. The suffix of a key names its unit.
+"""
 
 from __future__ import annotations
 
@@ -13,56 +16,66 @@
 
 
 class _StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """Base of all tables of a day; unknown keys are errors."""
+
     pass
 
 
 class Traffic(_StrictStruct, kw_only=True):
-    """First tries of clients, drawn ahead of any answer. One of `rate_per_s` and `load` is given."""
+    """Rate of the clients' first tries, independent of answers. Exactly one of `rate_per_s` and `load` is set."""
 
     rate_per_s: float = 0.0
-    load: float = 0.0  # share of what the tier that runs out first can do
-    swing: float = 0.0  # share by which the rate waves up and down
-    wave_s: float = 0.0  # length of a wave
-    shape: list[tuple[float, float]] = []  # second and factor, linear between
+    load: float = 0.0  # rate as a share of the capacity of the bottleneck tier
+    swing: float = 0.0  # amplitude of a triangle wave, as a share of the rate
+    wave_s: float = 0.0  # period of the wave
+    shape: list[tuple[float, float]] = []  # (time in s, factor of the rate), interpolated linearly
 
 
 class Clients(_StrictStruct):
+    """Behavior of clients after their first try."""
+
     retries: int = 0
-    try_share: float = 1.0  # of the deadline after which a try is given up that may be made again
+    try_share: float = 1.0  # time limit of a try that may be repeated, as a share of the deadline
     backoff: Literal["none", "fixed", "exp"] = "exp"
     backoff_ms: float = 100.0
-    honour: float = 1.0  # share that stays away as long as a refusal advises
-    impatient: float = 0.0  # share that leaves at a random moment of its wait
+    honour: float = 1.0  # share of requests whose retry waits as long as Retry-After says
+    impatient: float = 0.0  # share of tries that the client leaves at a random moment of its wait
 
 
 class Network(_StrictStruct):
-    """One way, each message."""
+    """Network delay of each message, one way."""
 
     same_ms: float = 0.2  # within a zone
     cross_ms: float = 3.0
     client_ms: float = 0.5
-    jitter: float = 0.2  # share by which a message's time varies
+    jitter: float = 0.2  # random extra delay, up to this share
 
 
 class Discovery(_StrictStruct):
+    """Service discovery: how late the lists of servers are, and the capacity of its endpoint."""
+
     mode: Literal["ask", "push"] = "ask"
-    add_s: float = 1.0  # until a started server is in the list
-    notice_s: float = 2.0  # until a server that ended after a drain is gone from it
-    silent_notice_s: float = 6.0  # until one that ended unannounced is
+    add_s: float = 1.0  # until a started server is on the list
+    notice_s: float = 2.0  # until a server that stopped after a drain is removed from the list
+    silent_notice_s: float = 6.0  # until a server that stopped unannounced is removed
     period_s: float = 0.5  # between two versions of the list
-    spread_s: float = 0.1  # most that a version takes to an instance
-    lines_per_s: float = 2000.0  # what the service that is asked can answer
-    call_lines: float = 50.0  # that a call costs beside the lines it brings
-    timeout_s: float = 2.0  # a call whose turn comes later fails
+    spread_s: float = 0.1  # maximum delay of a pushed version to an instance
+    lines_per_s: float = 2000.0  # list lines that the discovery endpoint can send
+    call_lines: float = 50.0  # cost of a call in addition to its list lines
+    timeout_s: float = 2.0  # a call that is not started within this time fails
 
 
 class Front(_StrictStruct):
+    """The front, which distributes the clients' calls over the proxies."""
+
     proxies: int = 2
-    notice_s: float = 2.0  # until the front leaves out a proxy that ended
-    start_spread_s: float = 0.0  # proxies come up within it
+    notice_s: float = 2.0  # until the front stops using a proxy that has terminated
+    start_spread_s: float = 0.0  # proxies start at random times within this time
 
 
 class Limits(_StrictStruct):
+    """What instances may do: attempts, hedging, cancels, probes and advice to wait."""
+
     max_attempts: int = 3
     duplicates: bool = False
     cancel: bool = True
@@ -74,9 +87,11 @@
 
 
 class Rules(_StrictStruct):
+    """Rules of the platform; the emulator counts violations of them."""
+
     grace_to_answer_ms: float = 20.0
     drain_grace_ms: float = 250.0
-    cold_from: float = 0.4  # as told to the instances; the servers' own is the tier's
+    cold_from: float = 0.4  # as configured for the instances; the servers' real value is Tier.cold_from
     cold_s: float = 8.0
     fall_multiple: float = 3.0
     fall_s: float = 2.0
@@ -84,7 +99,7 @@
 
 
 class Prices(_StrictStruct):
-    """As told to the instances; the emulator takes nothing off."""
+    """Prices as configured for the instances. The emulator itself doesn't charge them."""
 
     cross_zone: float = 0.0
     waste: float = 0.25
@@ -95,57 +110,67 @@
 
 
 class Choke(_StrictStruct, kw_only=True):
-    """A server with many requests for each core for a while turns slower until it has rested. Seconds without
-    a crowd take back as many with one."""
+    """Overload that persists: a server that is crowded for `over_s` is choked (slower) until it has rested.
 
-    at: float  # requests that want a core, for each core
+    A server is crowded while it has at least `at` requests per core. Each second without crowding takes back a
+    second of crowded time.
+    """
+
+    at: float  # requests that need a core (running or queued), per core
     over_s: float
-    slower: float  # times
-    rest_s: float
-    below: float  # share of its cores in use while it rests
-    most_s: float
+    slower: float  # factor by which a choked server is slower
+    rest_s: float  # length of the rest that ends the choke
+    below: float  # it rests while the used share of its cores is below this
+    most_s: float  # maximum duration of a choke
 
 
 class Tier(_StrictStruct, kw_only=True):
+    """Servers of one tier and their capacity."""
+
     name: str
     servers: int
-    deep: int = 1  # so many tiers alike, one calling the next
-    calls: float = 1.0  # on average that a request of the tier above makes here, one after another
-    work: float = 1.0  # share of a class's work for each call
+    deep: int = 1  # number of equal tiers in a chain, each of which calls the next
+    calls: float = 1.0  # mean number of sequential calls per request of the previous tier
+    work: float = 1.0  # work of a call here, as a share of the drawn work of the class
     cores: int = 1
-    speed: float = 1.0  # mean
+    speed: float = 1.0  # mean, relative to a standard core
     speed_cv: float = 0.0
-    speeds: list[float] = []  # of each server, in place of the draw
+    speeds: list[float] = []  # of each server; replaces the random draw
     cell_size: int = 8
-    slots: int = 16  # requests in work, those that wait for the next tier among them
-    room: int = 16  # requests that wait for a slot
-    thrash: float = 0.0  # capacity lost by each request held beyond `thrash_at`: 1 / (1 + thrash x so many)
+    slots: int = 16  # requests in progress, including those that wait for the next tier
+    room: int = 16  # maximum number of requests queued for a slot
+    # Each request held beyond `thrash_at`, per core, costs capacity: 1 / (1 + thrash x their number) remains.
+    thrash: float = 0.0
     thrash_at: float = 50.0
-    cold_from: float = 0.5  # share of its capacity that a server starts with
-    cold_s: float = 6.0  # until it has the whole, evenly
+    cold_from: float = 0.5  # share of its capacity that a server has at its start
+    cold_s: float = 6.0  # until it has its full capacity; the share grows linearly
     error_rate: float = 0.0
-    cancel: Literal["none", "queued", "running"] = "none"  # the work that ends when nobody waits any more
-    drops_expired: bool = False  # what has waited beyond its caller's time is not begun
+    cancel: Literal["none", "queued", "running"] = (
+        "none"  # which work is stopped when its caller no longer waits
+    )
+    drops_expired: bool = False  # a queued request is dropped if its deadline has passed
     handshake_rtts: float = 1.5
-    handshake_us: float = 1000.0  # of the server's work
-    connections: int = 800  # that a server accepts
-    full_tax: float = 0.0  # capacity that a full table takes
-    probe_us: float = 100.0
-    probes_per_s: float = 8.0  # that a core answers
+    handshake_us: float = 1000.0  # CPU time of the server, on a standard core
+    connections: int = 800  # maximum number of connections of a server
+    full_tax: float = 0.0  # share of capacity lost when all connections are in use
+    probe_us: float = 100.0  # CPU time of a probe, on a standard core
+    probes_per_s: float = 8.0  # probes answered per core
     probe_timeout_ms: float = 300.0
-    report_period_ms: float = 200.0  # reports are refreshed so often
-    report_delay_ms: float = 20.0  # and come so late
-    report_noise: float = 0.1
+    report_period_ms: float = 200.0  # interval at which load reports are refreshed
+    report_delay_ms: float = 20.0  # additional delay of load reports
+    report_noise: float = 0.1  # standard deviation of reported loads, relative
     choke: Choke | None = None
 
 
 class Class(_StrictStruct, kw_only=True):
+    """A class of requests."""
+
     name: str
-    share: float
-    work_ms: float  # mean, on a standard core, over all tiers
+    share: float  # of the requests; relative to the other classes
+    work_ms: float  # mean work of a request over all tiers whose `work` adds up to 1, on a standard core
     dist: Literal["fixed", "lognormal", "pareto"] = "lognormal"
     cv: float = 1.0
-    attempt_noise: float = 0.0  # cv of what an attempt's work differs by
+    attempt_noise: float = 0.0  # coefficient of variation of work between attempts of one call
     aim_ms: float
     deadline_ms: float
     worth: float = 1.0
@@ -156,26 +181,28 @@
 
 
 class TenantShare(_StrictStruct, kw_only=True):
+    """A tenant: its share of the service, its traffic and its quota."""
+
     name: str
     share: float  # of the service
-    traffic: float  # share of the requests
-    quota: float  # share of what the fleet can do
+    traffic: float  # share of the requests; relative to the other tenants
+    quota: float  # share of the fleet's capacity
 
 
 class Roll(_StrictStruct, kw_only=True, tag="roll", tag_field="kind"):
-    """Servers of a tier drain and stop, a batch at a time, and cold new machines take their places."""
+    """Rolling restart: servers of a tier drain and stop in batches, and cold new machines replace them."""
 
     at_s: float
     for_s: float
     tier: int = 0
-    part: float = 1.0
+    part: float = 1.0  # share of the tier that is replaced
     batch: float = 0.1  # share of the tier
     drain_s: float = 3.0
-    surge: bool = False  # those that come are started first, and the others drain when the list has them
+    surge: bool = False  # replacements start first; the old servers drain once those are listed
 
 
 class Shrink(_StrictStruct, kw_only=True, tag="shrink", tag_field="kind"):
-    """Servers of a tier drain and stop for good, one by one. The traffic is left to its own shape."""
+    """Servers of a tier drain and stop for good, one by one. The traffic doesn't change."""
 
     at_s: float
     for_s: float
@@ -185,7 +212,7 @@
 
 
 class ZoneLoss(_StrictStruct, kw_only=True, tag="zone_loss", tag_field="kind"):
-    """A zone's servers and proxies go silent, and come back as new, cold processes."""
+    """All servers and proxies of a zone become unreachable, and come back as new, cold processes."""
 
     at_s: float
     for_s: float
@@ -193,15 +220,17 @@
 
 
 class FastErrors(_StrictStruct, kw_only=True, tag="fast_errors", tag_field="kind"):
+    """Servers answer a share of their requests with errors at once."""
+
     at_s: float
     for_s: float
     tier: int = 0
     servers: int = 1
-    share: float = 0.5  # of their requests that they fail at once
+    share: float = 0.5  # of their requests that fail at once
 
 
 class Hang(_StrictStruct, kw_only=True, tag="hang", tag_field="kind"):
-    """Servers take requests and do nothing."""
+    """Servers accept requests but don't process them."""
 
     at_s: float
     for_s: float
@@ -210,34 +239,42 @@
 
 
 class HeavyTail(_StrictStruct, kw_only=True, tag="heavy_tail", tag_field="kind"):
+    """A share of the calls of a class to a tier takes a multiple of the work."""
+
     at_s: float
     for_s: float
     tier: int = 0
     cls: str
-    share: float  # of its calls to that tier
-    times: float  # their work
+    share: float  # of the calls of the class to the tier
+    times: float  # factor of their work
 
 
 class StaleDiscovery(_StrictStruct, kw_only=True, tag="stale_discovery", tag_field="kind"):
+    """Discovery learns of changes later than usual."""
+
     at_s: float
     for_s: float
-    behind_s: float
+    behind_s: float  # additional delay
 
 
 class Burst(_StrictStruct, kw_only=True, tag="burst", tag_field="kind"):
+    """The rate of first tries is a multiple of the usual one."""
+
     at_s: float
     for_s: float
-    times: float  # the rate
+    times: float  # factor of the rate
 
 
 Fault = Roll | Shrink | ZoneLoss | FastErrors | Hang | HeavyTail | StaleDiscovery | Burst
 
 
 class Day(_StrictStruct, kw_only=True):
+    """A day: one scenario that is played."""
+
     name: str
     seed: int = 1
-    duration_s: float  # in which first tries come
-    tick_ms: float = 5.0  # the shortest gap between two batches of an instance
+    duration_s: float  # period in which clients send first tries
+    tick_ms: float = 5.0  # shortest time between two batches of events of an instance
     zones: list[str] = msgspec.field(default_factory=lambda: ["a"])
     passes_deadline: bool = False
     worth_by_work: bool = False
@@ -256,7 +293,7 @@
     troubles: list[Fault] = []
 
     def expanded_tiers(self) -> list[Tier]:
-        """Every tier that a call passes, from the first on."""
+        """All tiers that a call passes, in order; a tier with `deep` > 1 becomes that many tiers."""
         tiers = []
         for tier in self.tiers:
             for number in range(tier.deep):
@@ -265,12 +302,12 @@
         return tiers
 
     def mean_work(self) -> float:
-        """Core seconds of a request whose work at all tiers adds up to 1."""
+        """Mean core seconds of a request over all classes, if the `work` of the tiers adds up to 1."""
         total_share = sum(cls.share for cls in self.classes)
         return sum(cls.share * cls.work_ms for cls in self.classes) / total_share / 1e3
 
     def capacity(self) -> float:
-        """Requests each second that the tier which runs out first can do."""
+        """Requests per second that the bottleneck tier can serve."""
         visits, lowest_rate = 1.0, math.inf
         for tier in self.expanded_tiers():
             visits *= tier.calls
@@ -280,11 +317,14 @@
         return lowest_rate
 
     def rate(self) -> float:
-        """First tries each second before waves and troubles."""
+        """Base rate of first tries per second, without wave, shape and faults."""
         return self.traffic.rate_per_s or self.traffic.load * self.capacity()
 
     def settings(self, stage: int, zone: str, me: int, balancers: int) -> Settings:
-        """What an instance that sends to tier `stage` is told. Raises ExperimentError."""
+        """Settings of the instance `me` in `zone` that sends to tier `stage`, one of `balancers`.
+
+        Raises ExperimentError if they are invalid.
+        """
         limits, rules, prices = self.limits, self.rules, self.prices
         tiers = self.expanded_tiers()
         try:
@@ -350,13 +390,16 @@
 
 
 def check(day: Day) -> Day:
-    """What types can't say; a key that would have no effect is an error too. Raises ExperimentError."""
+    """Check what types can't express, and return the day. A key without effect is an error too.
+
+    Raises ExperimentError, which names the key.
+    """
     _require(0 < day.duration_s <= 3600, "duration_s", "must be above 0 and at most 3600")
     _require(day.tick_ms > 0, "tick_ms", "must be above 0")
     _require(bool(day.zones) and len(set(day.zones)) == len(day.zones), "zones", "must name each zone once")
-    _require(bool(day.classes), "classes", "there is none")
+    _require(bool(day.classes), "classes", "must not be empty")
     _require(sum(cls.share for cls in day.classes) > 0, "classes", "the shares add up to 0")
-    _require(bool(day.tiers), "tiers", "there is none")
+    _require(bool(day.tiers), "tiers", "must not be empty")
     for number, tier in enumerate(day.tiers):
         _check_tier(day, tier, f"tiers[{number}]")
     _check_traffic(day)
@@ -365,13 +408,25 @@
     _require(0 < day.clients.try_share <= 1, "clients.try_share", "must be above 0 and at most 1")
     _require(day.discovery.period_s > 0, "discovery.period_s", "must be above 0")
     _require(day.discovery.lines_per_s > 0, "discovery.lines_per_s", "must be above 0")
-    _require(not day.tenants or sum(t.traffic for t in day.tenants) > 0, "tenants", "they send nothing")
+    _require(
+        not day.tenants or sum(t.traffic for t in day.tenants) > 0,
+        "tenants",
+        "the traffic shares add up to 0",
+    )
     for number, cls in enumerate(day.classes):
         path = f"classes[{number}]"
         _require(cls.work_ms > 0, f"{path}.work_ms", "must be above 0")
         _require(cls.cv > 0 or cls.dist == "fixed", f"{path}.cv", "must be above 0")
-        _require(cls.effect == "by_key" or not cls.window_ms, f"{path}.window_ms", "unused: not by_key")
-        _require(cls.effect == "by_key" or cls.group == "all", f"{path}.group", "unused: not by_key")
+        _require(
+            cls.effect == "by_key" or not cls.window_ms,
+            f"{path}.window_ms",
+            "has no effect: the effect is not by_key",
+        )
+        _require(
+            cls.effect == "by_key" or cls.group == "all",
+            f"{path}.group",
+            "has no effect: the effect is not by_key",
+        )
     for number, fault in enumerate(day.troubles):
         _check_fault(day, fault, f"troubles[{number}]")
     day.settings(0, day.zones[0], 0, day.front.proxies)
@@ -381,31 +436,49 @@
 def _check_tier(day: Day, tier: Tier, path: str) -> None:
     _require(1 <= tier.servers <= 20_000, f"{path}.servers", "must be from 1 to 20,000")
     _require(1 <= tier.deep <= 64, f"{path}.deep", "must be from 1 to 64")
-    _require(not tier.speeds or len(tier.speeds) == tier.servers, f"{path}.speeds", "must name each server's")
-    _require(not tier.speeds or not tier.speed_cv, f"{path}.speed_cv", "unused: the speeds are given")
+    _require(
+        not tier.speeds or len(tier.speeds) == tier.servers,
+        f"{path}.speeds",
+        "must have one value per server",
+    )
+    _require(not tier.speeds or not tier.speed_cv, f"{path}.speed_cv", "has no effect: speeds is set")
     _require(min([tier.speed, *tier.speeds]) > 0, f"{path}.speed", "must be above 0")
-    _require(min(tier.cores, tier.slots, tier.cell_size) >= 1, path, "cores, slots, cell_size: at least 1")
-    _require(tier.room >= 0 and tier.calls >= 0 and tier.work >= 0, path, "room, calls, work: not below 0")
+    _require(
+        min(tier.cores, tier.slots, tier.cell_size) >= 1,
+        path,
+        "cores, slots and cell_size must be at least 1",
+    )
+    _require(
+        tier.room >= 0 and tier.calls >= 0 and tier.work >= 0,
+        path,
+        "room, calls and work must not be below 0",
+    )
     _require(0 < tier.cold_from <= 1, f"{path}.cold_from", "must be above 0 and at most 1")
     _require(0 <= tier.full_tax < 1, f"{path}.full_tax", "must be from 0 to below 1")
     _require(tier.report_period_ms > 0, f"{path}.report_period_ms", "must be above 0")
     _require(tier.connections >= 1, f"{path}.connections", "must be at least 1")
-    _require(tier is not day.tiers[0] or tier.calls == 1, f"{path}.calls", "unused: the first tier gets one")
+    _require(
+        tier is not day.tiers[0] or tier.calls == 1,
+        f"{path}.calls",
+        "has no effect: the first tier gets one call",
+    )
 
 
 def _check_traffic(day: Day) -> None:
     traffic = day.traffic
-    _require((traffic.rate_per_s > 0) != (traffic.load > 0), "traffic", "give rate_per_s or load")
+    _require(
+        (traffic.rate_per_s > 0) != (traffic.load > 0), "traffic", "set exactly one of rate_per_s and load"
+    )
     _require(0 <= traffic.swing < 1, "traffic.swing", "must be from 0 to below 1")
-    _require((traffic.swing > 0) == (traffic.wave_s > 0), "traffic.wave_s", "goes with swing")
-    _require(not (traffic.swing and traffic.shape), "traffic.swing", "unused: the shape is given")
+    _require((traffic.swing > 0) == (traffic.wave_s > 0), "traffic.wave_s", "must be set together with swing")
+    _require(not (traffic.swing and traffic.shape), "traffic.swing", "has no effect: shape is set")
     times = [time for time, _ in traffic.shape]
-    _require(times == sorted(times), "traffic.shape", "must be in order of time")
-    _require(day.rate() <= 100_000, "traffic", "more than 100,000 requests a second")
+    _require(times == sorted(times), "traffic.shape", "must be sorted by time")
+    _require(day.rate() <= 100_000, "traffic", "more than 100,000 requests per second")
 
 
 def _check_fault(day: Day, fault: Fault, path: str) -> None:
-    _require(0 <= fault.at_s < day.duration_s, f"{path}.at_s", "unused: the day is over by then")
+    _require(0 <= fault.at_s < day.duration_s, f"{path}.at_s", "has no effect: the day ends before")
     _require(fault.for_s > 0, f"{path}.for_s", "must be above 0")
     if isinstance(fault, Roll | Shrink | FastErrors | Hang | HeavyTail):
         tiers = day.expanded_tiers()
@@ -423,7 +496,7 @@
 
 
 def parse(text: str | bytes) -> Day:
-    """Raises ExperimentError."""
+    """Parse and check a day in TOML. Raises ExperimentError."""
     try:
         return check(msgspec.toml.decode(text, type=Day))
     except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -431,7 +504,7 @@
 
 
 def load(path: Path) -> Day:
-    """Raises ExperimentError, which names the file."""
+    """Read and check a day from a TOML file. Raises ExperimentError, which names the file."""
     try:
         return parse(path.read_bytes())
     except (OSError, ExperimentError) as error:
--- a/granitepoint/emulator/drawn.py
+++ b/granitepoint/emulator/drawn.py
@@ -1,4 +1,7 @@
-"""Reads a day that the simulator drew (`lbsim draw`) as a day of the emulator, as far as both know it."""
+"""Converts a day that the simulator generated (`lbsim draw`) to a day of the emulator.
+
+Only what both of them model is converted. The simulator's file has times in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +14,7 @@
 from granitepoint.emulator.day import Day, check
 from granitepoint.fleet.experiment import ExperimentError
 
+# Values and keys of the simulator's file -> those of a day of the emulator.
 EFFECTS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 CHOKE_FIELDS = {
     "at": "at", "over": "over_s", "slower": "slower", "rest": "rest_s", "below": "below", "most": "most_s",
@@ -18,7 +22,10 @@
 
 
 def load(path: Path) -> Day:
-    """Raises ExperimentError, which names the file and what it lacks."""
+    """Read, convert and check a generated day (JSON).
+
+    Raises ExperimentError, which names the file and the missing key or the unsupported value.
+    """
     try:
         generated = json.loads(path.read_text(encoding="utf-8"))
         fields = _day(generated)
@@ -199,6 +206,6 @@
         elif kind == "discovery_stale":
             fault_fields |= {"kind": "stale_discovery", "behind_s": fault["size"]}
         else:
-            raise ExperimentError(f"troubles: {kind}: not known here")
+            raise ExperimentError(f"troubles: {kind}: not supported by the emulator")
         faults.append(fault_fields)
     return faults
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -1,4 +1,4 @@
-"""One instance of the decision module with what surrounds it: batches, attempts, connections and probes."""
+"""One instance of the decision module and its environment: batches, attempts, connections and probes."""
 
 from __future__ import annotations
 
@@ -18,18 +18,22 @@
 
 
 class ConnectionPool:
-    """Idle connections to one server: the process that each leads to, and when it was last used."""
+    """Idle connections to one server, as (incarnation of the server process, time of the last use)."""
 
     __slots__ = ("idle", "server", "expiry_scheduled")
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.idle: list[tuple[int, float]] = []
-        self.expiry_scheduled = False  # a look at their age is due
+        self.expiry_scheduled = False  # whether a call of Instance._close_expired is scheduled
 
 
 class Instance:
-    """What the module says is done here as a real proxy does it; the rules are watched, not enforced."""
+    """Executes the actions of the decision module as a real proxy does.
+
+    The rules of the platform are not enforced: violations are counted in Tally.violations. Times are in
+    simulated seconds.
+    """
 
     def __init__(self, world: World, stage: int, zone: str, me: int, balancers: int, seed: int) -> None:
         self.world, self.loop, self.tally, self.day = world, world.loop, world.tally, world.day
@@ -45,24 +49,25 @@
         self.connect_timeout = self.day.limits.connect_timeout_ms / 1e3
         self.max_attempts = self.day.limits.max_attempts
         self.alive: bool = False
-        self.silent = False  # it does not even refuse connections
-        self.incarnation: int = 0
+        self.silent = False  # unreachable: connections to it time out instead of being refused
+        self.incarnation: int = 0  # changes with each start and end of the process
         self._reset_state()
 
     def _reset_state(self) -> None:
         self.inbox: list[api.Event] = []
-        self.next_batch_tick = -1  # the tick of the next batch; -1: none
+        self.next_batch_tick = -1  # -1: no batch is scheduled
         self.calls: dict[int, Call] = {}
         self.attempts_in_flight: dict[Attempt, None] = {}
         self.pools: dict[int, ConnectionPool] = {}
-        self.listed_servers: set[int] = set()  # servers that its lists have named
-        self.leaving_since: dict[int, float] = {}  # servers that drain or are gone, and since when it knows
-        self.notified_starts: dict[int, float] = {}  # the start that the last list told of each server
+        self.listed_servers: set[int] = set()  # servers that have been on any of its lists
+        # For each server that drains or is gone: when the instance was notified of it.
+        self.leaving_since: dict[int, float] = {}
+        self.notified_starts: dict[int, float] = {}  # start time of each server on the latest list
         self.version = 0
         self.watching = False
 
     def start(self) -> None:
-        """A new process: it knows the list as last held."""
+        """Start a new process, which begins with the saved list of servers."""
         self._reset_state()
         self.incarnation += 1
         self.alive, self.silent = True, False
@@ -70,7 +75,10 @@
         self.registry.join(self)
 
     def terminate(self, silent: bool = False) -> None:
-        """The process ends with all that it held. Where it went silent its callers wait in vain."""
+        """End the process with everything that it holds.
+
+        Its calls are lost; the callers notice at once, or at their deadlines if the instance went silent.
+        """
         if not self.alive:
             return
         self.alive, self.silent = False, silent
@@ -93,7 +101,7 @@
                 self.loop.call_at(call.deadline if silent else self.loop.now, self._report_lost, call)
 
     def admission_state(self) -> tuple[float, float, int, int]:
-        """Its limit of calls in flight, the share it means to refuse, attempts in flight and calls held."""
+        """Concurrency limit, fraction to reject, attempts in flight, and calls in the queue."""
         balancer = self.balancer
         return (
             balancer.admission.window,
@@ -104,7 +112,7 @@
 
     # -- batches
     def post(self, event: api.Event) -> None:
-        """Put an event into the next batch."""
+        """Add an event to the next batch; a batch starts with the next tick."""
         self.inbox.append(event)
         if self.next_batch_tick < 0:
             self.next_batch_tick = int(self.loop.now / self.tick_length) + 1
@@ -115,6 +123,7 @@
             )
 
     def receive_list(self, kind: api.ListKind, entries: list[api.ServerEntry], version: int) -> None:
+        """Record a list from discovery for the checks of rules, and deliver it to the module."""
         if kind is not api.ListKind.FAILED:
             now = self.loop.now
             for entry in entries:
@@ -134,6 +143,7 @@
         self.post(api.ServerList(kind, entries, version))
 
     def knows_start(self, server: Server) -> bool:
+        """Whether the instance has been notified of the latest start of the server."""
         return self.notified_starts.get(server.id, -1.0) >= server.started_at
 
     def _run_batch(self, argument: tuple[int, int]) -> None:
@@ -183,7 +193,7 @@
 
     # -- calls
     def accept(self, call: Call) -> None:
-        """A call comes in. What can't reach a live instance is lost."""
+        """Accept a call. It is lost if the instance is not running."""
         if call.ended:
             return
         if not self.alive:
@@ -203,7 +213,7 @@
         call.caller.on_call_ended(call, CallResult.LOST, 0.0, None)
 
     def caller_left(self, call: Call) -> None:
-        """Its asker waits no longer."""
+        """End a call whose caller no longer waits."""
         if not call.ended:
             call.ended = True
             if not call.in_flight:
@@ -220,7 +230,7 @@
     def _answer(self, id: int, result: CallResult, retry_after: float) -> None:
         call = self.calls.get(id)
         if call is None or call.ended:
-            return  # it has ended meanwhile
+            return  # the call has ended in the meantime
         if result is CallResult.REFUSED and not self._may_refuse(call):
             self.tally.violations["repeat"] += 1
         if result is CallResult.REFUSED:
@@ -242,7 +252,7 @@
         return all(one.status in NEVER_RAN for one in call.attempts)
 
     def _may_repeat(self, call: Call, server: Server) -> bool:
-        """Whether the rule on double effects lets a further attempt go to this server now."""
+        """Whether the rule against duplicate effects allows another attempt at this server now."""
         cls = call.request.cls
         if call.in_flight and not self.day.limits.duplicates:
             return False
@@ -285,7 +295,11 @@
         self._transmit(attempt, action)
 
     def _transmit(self, attempt: Attempt, action: api.Send) -> None:
-        """Send it over an idle connection, or open one for it."""
+        """Send the attempt over an idle connection, or over a new one.
+
+        `action.trust` is the largest idle age of a connection that may be used. `action.within` is the time
+        within which the last byte has to be sent; the attempt is moot if the handshake takes longer.
+        """
         server, loop = attempt.server, self.loop
         delay = self.world.delay(self.zone, server.zone)
         idle_for = self._take_idle_connection(server, action.trust)
@@ -333,7 +347,7 @@
             attempt.server.abandon(attempt)
 
     def on_reply(self, attempt: Attempt) -> None:
-        """Its server's answer comes back."""
+        """Handle the answer of the server."""
         if attempt.status >= 0:
             return
         if attempt.reply_status != api.Status.RESET and attempt.incarnation == attempt.server.incarnation:
@@ -373,13 +387,13 @@
 
     # -- connections
     def _take_idle_connection(self, server: Server, max_idle_age: float) -> float | None:
-        """How long the one that is taken had not been used; None: there is none."""
+        """Take an idle connection of at most that age. Returns how long it was idle; None: there is none."""
         pool = self.pools.get(server.id)
         while pool is not None and pool.idle:
             incarnation, used_at = pool.idle.pop()
             idle_for = self.loop.now - used_at
             if incarnation != server.incarnation and not server.silent:
-                continue  # its end was seen when the process ended
+                continue  # closed when the server process ended
             if idle_for <= min(max_idle_age, self.idle_timeout):
                 return idle_for
             if incarnation == server.incarnation:
@@ -410,7 +424,7 @@
             self.loop.call_at(pool.idle[0][1] + self.idle_timeout, self._close_expired, argument)
 
     def _drop_connection(self, attempt: Attempt) -> None:
-        """It still carries an answer that nobody waits for: it is closed."""
+        """Close the connection of an attempt: the answer on it is no longer wanted."""
         if attempt.incarnation == attempt.server.incarnation and attempt.server.up:
             attempt.server.open_connections -= 1
 
--- a/granitepoint/emulator/loop.py
+++ b/granitepoint/emulator/loop.py
@@ -1,4 +1,4 @@
-"""The event loop: a heap of moments, in simulated seconds."""
+"""The event loop of the emulator: a heap of callbacks, ordered by simulated time in seconds."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class EventLoop:
-    """Calls what is due in order of time; what is due at the same time in the order it was asked for."""
+    """Runs callbacks in the order of their times; callbacks of the same time in the order of scheduling."""
 
-    __slots__ = ("_scheduled_count", "_heap", "now")
+    __slots__ = ("_heap", "_scheduled_count", "now")
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -18,12 +18,12 @@
         self._heap: list[tuple[float, int, Callable[[Any], None], Any]] = []
 
     def call_at(self, time: float, callback: Callable[[Any], None], argument: object = None) -> None:
-        """Call what(about) at `time`, in seconds; a time that has passed means now."""
+        """Schedule callback(argument) for `time`, in seconds. With a time in the past it runs next, at `now`."""
         self._scheduled_count += 1
         heappush(self._heap, (time, self._scheduled_count, callback, argument))
 
     def run(self, until: float) -> int:
-        """Run all that is due up to `until`, in seconds, and return how many moments that were."""
+        """Run all callbacks due up to `until`, in seconds. Returns how many have run."""
         heap, callbacks_run = self._heap, 0
         while heap and heap[0][0] <= until:
             time, _, callback, argument = heappop(heap)
--- a/granitepoint/emulator/registry.py
+++ b/granitepoint/emulator/registry.py
@@ -1,4 +1,4 @@
-"""The late list of one tier's servers, and discovery, where every instance waits its turn to ask."""
+"""Service discovery: the list of each tier's servers, which lags behind, and the endpoint that sends it."""
 
 from __future__ import annotations
 
@@ -15,14 +15,20 @@
 
 
 class DiscoveryEndpoint:
-    """The one service that all instances ask: calls are answered in turn, each at the price of its lines."""
+    """The discovery service that all instances call.
+
+    It handles one call at a time, in order; a call takes a fixed time plus a time per list line.
+    """
 
     def __init__(self, world: World) -> None:
         self.config, self.loop = world.day.discovery, world.loop
         self.free_at = 0.0
 
     def schedule_call(self, lines: int) -> tuple[float, bool]:
-        """When a call that brings so many lines is over, and whether it is answered."""
+        """Queue a call whose answer has that many lines.
+
+        Returns the time in seconds at which the call ends, and whether it is answered (else it times out).
+        """
         now, config = self.loop.now, self.config
         start = max(now, self.free_at)
         if start > now + config.timeout_s:
@@ -32,37 +38,40 @@
 
 
 class Registry:
-    """What discovery says of a tier's servers. It knows of processes that run, drain or are gone."""
+    """The list of one tier's servers as discovery has it: processes that are serving, draining or gone."""
 
     def __init__(self, world: World, endpoint: DiscoveryEndpoint, random: Random) -> None:
         self.world, self.loop, self.config = world, world.loop, world.day.discovery
         self.endpoint, self.random = endpoint, random
-        self.entries: dict[int, ServerEntry] = {}  # the present version
-        self.changes: list[ServerEntry] = []  # all changes; a version is a place in it
+        self.entries: dict[int, ServerEntry] = {}  # latest version of the list
+        self.changes: list[ServerEntry] = []  # all changes; version n is the list after the first n of them
         self.watchers: dict[int, Instance] = {}
         self.push_scheduled = False
-        self.extra_delay = 0.0  # s that everything comes later by, in a trouble
+        self.extra_delay = 0.0  # s that changes are delayed in addition, by a fault
         self._changes_by_version: dict[int, list[ServerEntry]] = {}
 
-    # -- what happens to servers
+    # -- changes of servers
     def add_initial(self, server: Server) -> None:
-        """One that was there before the day began."""
+        """Add a server that runs since before the day started."""
         self.entries[server.id] = server.list_entry(ServerState.SERVING)
 
     def on_started(self, server: Server) -> None:
+        """List a started server after `add_s`."""
         self._schedule_entry(server.list_entry(ServerState.SERVING), self.config.add_s)
 
     def on_draining(self, server: Server) -> None:
+        """List a server as draining, with the next version."""
         self._schedule_entry(server.list_entry(ServerState.DRAINING), 0.0)
 
     def on_lost(self, server: Server, silent: bool) -> None:
+        """Remove a server that has stopped, after `silent_notice_s` if it went silent, else `notice_s`."""
         config = self.config
         self._schedule_entry(
             server.list_entry(ServerState.GONE), config.silent_notice_s if silent else config.notice_s
         )
 
     def _schedule_entry(self, entry: ServerEntry, delay: float) -> None:
-        """It is in the first version after the delay."""
+        """Schedule a change for the first version of the list after the delay, in seconds."""
         due = self.loop.now + delay + self.extra_delay
         version = math.floor(due / self.config.period_s) + 1
         self.loop.call_at(version * self.config.period_s, self._publish, (entry, self.loop.now))
@@ -71,11 +80,11 @@
         entry, occurred_at = argument
         listed = self.entries.get(entry.server)
         if listed is not None and listed.started_at > entry.started_at:
-            return  # a later process is listed already
+            return  # a newer process is listed already
         if entry.state is ServerState.GONE:
             server = self.world.servers[entry.server]
             if server.up and server.started_at > occurred_at:
-                return  # it came back before its loss was noticed
+                return  # it was started again before discovery noticed the loss
             self.entries.pop(entry.server, None)
         else:
             self.entries[entry.server] = entry
@@ -95,14 +104,17 @@
 
     # -- instances
     def join(self, instance: Instance) -> None:
+        """Give a started instance its saved list; in push mode it gets changes from now on."""
         instance.receive_list(ListKind.SAVED, list(self.entries.values()), len(self.changes))
         if self.config.mode == "push":
             self.watchers[instance.number] = instance
 
     def leave(self, instance: Instance) -> None:
+        """Stop sending changes to the instance."""
         self.watchers.pop(instance.number, None)
 
     def watch(self, instance: Instance, on: bool) -> None:
+        """Handle a call that starts a watch, or end the watch."""
         if not on:
             self.leave(instance)
             return
@@ -114,6 +126,7 @@
         )
 
     def fetch(self, instance: Instance) -> None:
+        """Handle a call for the full list."""
         due, answered = self.endpoint.schedule_call(len(self.entries))
         self.loop.call_at(
             due,
@@ -148,7 +161,7 @@
             )
 
     def _changes_since(self, version: int) -> list[ServerEntry]:
-        """All changes after that version; instances share the list and don't change it."""
+        """All changes after that version. The instances share the returned list and must not modify it."""
         if version not in self._changes_by_version:
             self._changes_by_version[version] = self.changes[version:]
         return self._changes_by_version[version]
--- a/granitepoint/emulator/server.py
+++ b/granitepoint/emulator/server.py
@@ -1,4 +1,4 @@
-"""One server: slots, a waiting room, cores that its requests share, cold starts and chokes."""
+"""Model of one server: slots, a queue, cores shared by its requests, cold starts and chokes (overload)."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
     from granitepoint.emulator.instance import Instance
     from granitepoint.emulator.world import World
 
-WORK_FRACTION_BEFORE_CALLS = 0.5  # of an attempt's work that is done before its calls
-FAST_ERROR_TIME = 1e-3  # s until a struck server has failed a request
-WORK_EPSILON = 1e-9  # core seconds that count as none
-DRAIN_ACCEPT_FRACTION = 0.5  # of a drain's time, in which new requests are still taken: the lists come late
-REST_CHECKS = 4  # of the time of rest, at which a choked server is looked at
+WORK_FRACTION_BEFORE_CALLS = 0.5  # of an attempt's work; the rest follows its calls to the next tier
+FAST_ERROR_TIME = 1e-3  # s until a request fails during a FastErrors fault
+WORK_EPSILON = 1e-9  # core seconds; less remaining work counts as none
+# Fraction of the drain time in which new requests are still accepted, because lists arrive late.
+DRAIN_ACCEPT_FRACTION = 0.5
+REST_CHECKS = 4  # checks per `rest_s` of whether a choked server has rested
 
 
 class Server:
-    """Its requests in work share its cores evenly, each at most one of them. Times in seconds, work in core
-    seconds of a standard core.
+    """A server whose running requests share its cores evenly; each uses at most one core.
 
-    `progress` is the work that each request in work has been given since the process began; a request is
-    done when it reaches the progress at which it began plus its work.
+    Times are in seconds, work is in seconds of a standard core. `progress` is the work that each running
+    request has received since the process started (the virtual time of processor sharing). A request is done
+    when `progress` reaches its value at the start of the request plus the work of the request.
     """
 
     def __init__(
@@ -51,11 +52,11 @@
         self.random = random
         self.speed, self.cores = speed, tier.cores
         self.calls_to_next_tier = world.tiers[depth + 1].calls if depth + 1 < len(world.tiers) else 0.0
-        self.instance: Instance | None = None  # for its calls to the next tier
-        self.incarnation: int = 0  # which process
+        self.instance: Instance | None = None  # sends its calls to the next tier; None at the last tier
+        self.incarnation: int = 0  # changes with each start and end of the process
         self.up: bool = True
         self.draining = self.silent = self.hung = False
-        self.rejects_from = math.inf  # from then on it turns new requests away
+        self.rejects_from = math.inf  # time from which new requests are rejected
         self.error_share = 0.0
         self.report_phase = random.random() * tier.report_period_ms / 1e3
         self.probe_tokens, self.probe_tokens_at = tier.probes_per_s * tier.cores, 0.0
@@ -64,10 +65,10 @@
         self._reset_state()
 
     def _reset_state(self) -> None:
-        self.open_connections = 0  # connections
-        self.slots_used = self.active = 0  # requests in work, and those of them that want a core
+        self.open_connections = 0
+        self.slots_used = self.active = 0  # requests in progress; those that need a core, and probes
         self.wait_queue: deque[Attempt] = deque()
-        self.calling: dict[Attempt, None] = {}  # in work, but calling
+        self.calling: dict[Attempt, None] = {}  # in a slot, waiting for the next tier
         self.completions: list[
             tuple[float, int, Attempt | None]
         ] = []  # by the progress at which they are done
@@ -75,32 +76,34 @@
         self.progress = self.progress_rate = 0.0
         self.advanced_at = self.loop.now
         self.next_completion_at = math.inf
-        self.cold_sends: deque[tuple[float, float, bool]] = deque()  # sent while cold: when, work, told
+        self.cold_sends: deque[tuple[float, float, bool]] = (
+            deque()
+        )  # while cold: (time, work, sender was notified)
         self.cold_work = 0.0
         self.crowded_since = math.inf
-        self.crowded_time = 0.0  # s, less those since in which it was not crowded
-        self.choked_since = math.inf  # since when
-        self.busy_time = 0.0  # seconds of all cores
+        self.crowded_time = 0.0  # s of crowding, less the seconds without since
+        self.choked_since = math.inf  # infinite: not choked
+        self.busy_time = 0.0  # s in which all cores were in use; partial use counts in part
         self.busy_time_samples: deque[float] = deque(maxlen=REST_CHECKS + 1)
         self.report_period_number = -1
         self.report_value = self.previous_report_value = 0.0
 
     # -- capacity
     def capacity_share(self, now: float) -> float:
-        """Of its capacity, that a process has which may still be cold."""
+        """Share of the full capacity that the process has at this time, below 1 while it is cold."""
         if now >= self.warm_at:
             return 1.0
         tier = self.tier
         return tier.cold_from + (1 - tier.cold_from) * (now - self.started_at) / tier.cold_s
 
     def _effective_time(self, now: float) -> float:
-        """Seconds of full capacity between its start and now."""
+        """Integral of the capacity share from the process start to now: equivalent seconds of full capacity."""
         tier, age = self.tier, now - self.started_at
         cold = min(age, tier.cold_s)
         return tier.cold_from * cold + (1 - tier.cold_from) * cold * cold / (2 * tier.cold_s) + age - cold
 
     def _inverse_effective_time(self, effective_time: float) -> float:
-        """When that many seconds of full capacity have passed since its start."""
+        """The time at which `_effective_time` reaches this value."""
         tier = self.tier
         warm_up_effective_time = tier.cold_s * (1 + tier.cold_from) / 2
         if effective_time >= warm_up_effective_time or tier.cold_from >= 1:
@@ -113,7 +116,7 @@
         )
 
     def advance(self) -> None:
-        """Bring the progress up to now."""
+        """Update `progress` and the times of crowding and use to now."""
         now, advanced_at = self.loop.now, self.advanced_at
         if now <= advanced_at:
             return
@@ -132,10 +135,11 @@
                 self.busy_time += (now - advanced_at) * min(1.0, self.active / self.cores)
 
     def held_requests(self) -> int:
+        """Number of requests in progress or queued."""
         return self.slots_used + len(self.wait_queue)
 
     def update_rate(self) -> None:
-        """Set the pace after a change, and the moment at which the next request is done."""
+        """Compute the progress rate after a change, and schedule the next completion."""
         tier, active = self.tier, self.active
         if not active:
             if self.crowded_since < math.inf:
@@ -177,7 +181,7 @@
             self.loop.call_at(due, self._on_completion_due, (due, self.incarnation))
 
     def _on_completion_due(self, argument: tuple[float, int]) -> None:
-        """The earliest request may be done; if the pace has fallen since, it is not yet."""
+        """Complete the phases that are done. None is, if the rate has fallen since the call was scheduled."""
         if argument[1] != self.incarnation or argument[0] != self.next_completion_at or not self.up:
             return
         self.next_completion_at = math.inf
@@ -198,7 +202,7 @@
 
     # -- requests
     def receive(self, attempt: Attempt) -> None:
-        """An attempt comes in over its connection."""
+        """Handle an attempt that arrives over its connection."""
         if self.silent:
             return
         if attempt.incarnation != self.incarnation or not self.up:
@@ -279,7 +283,7 @@
     def on_call_ended(
         self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
     ) -> None:
-        """A call to the next tier has ended."""
+        """Continue the attempt whose call to the next tier has ended."""
         calling_attempt = call.calling_attempt
         if (
             calling_attempt is None
@@ -303,7 +307,7 @@
         self.update_rate()
 
     def _finish_attempt(self, attempt: Attempt, status: Status) -> None:
-        """Free the slot, and let the next one in."""
+        """Free the slot, answer, and start queued requests."""
         self.update_report()
         self.calling.pop(attempt, None)
         self._mark_finished(attempt)
@@ -325,13 +329,14 @@
                 self._start_in_slot(attempt)
 
     def reply(self, attempt: Attempt, status: Status) -> None:
+        """Send an answer, unless the instance has given up the attempt."""
         attempt.reply_status = status
         if attempt.status < 0:
             delay = self.world.delay(self.zone, attempt.instance.zone)
             self.loop.call_at(self.loop.now + delay, attempt.instance.on_reply, attempt)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Nobody waits for it any more: what ends of it depends on the tier."""
+        """Handle an attempt that the instance has given up. `Tier.cancel` says which work is stopped."""
         cancel = self.tier.cancel
         if (
             attempt.incarnation != self.incarnation
@@ -361,11 +366,12 @@
             if inner_call is not None and inner_call.instance is not None:
                 inner_call.instance.caller_left(inner_call)
 
-    # -- cold starts, chokes and ends
+    # -- cold starts, chokes, stop and start
     def _overloads_cold_process(self, attempt: Attempt, work: float) -> bool:
-        """Count the work sent to a cold process; too much of it within the stated time and it falls.
+        """Count the work sent to a cold process; too much within `Rules.fall_s` crashes the process.
 
-        Slack for chance: the newest, and what one request has beyond all that the process can do meanwhile.
+        Returns whether it has crashed. To leave slack for random work, the newest request is not counted, and
+        a request counts at most the work that the process can do in that time.
         """
         rules, now = self.world.day.rules, self.loop.now
         cold_sends = self.cold_sends
@@ -427,7 +433,7 @@
             self.loop.call_at(self.loop.now + choke.rest_s / REST_CHECKS, self._check_rested, incarnation)
 
     def stop(self, silent: bool = False) -> None:
-        """The process ends: what it held is reset, or never answered where it went silent."""
+        """End the process. The requests that it held are reset, or never answered if it goes silent."""
         self.advance()
         held_attempts = [
             one for _, _, one in self.completions if one is not None and one.state is AttemptState.RUNNING
@@ -450,7 +456,7 @@
             self.instance.terminate(silent)
 
     def start(self) -> None:
-        """A new, cold process."""
+        """Start a new, cold process."""
         now = self.loop.now
         self.incarnation += 1
         self.up, self.silent, self.draining, self.hung = True, False, False, False
@@ -460,18 +466,22 @@
             self.instance.start()
 
     def drain(self, drain_time: float) -> None:
-        """It ends in so many seconds. What comes in the first half of them is still taken."""
+        """Drain for `drain_time` seconds; in the first part of it new requests are still accepted."""
         self.draining = True
         self.rejects_from = self.loop.now + DRAIN_ACCEPT_FRACTION * drain_time
 
     def hang(self, on: bool) -> None:
+        """Stop or resume processing; requests are still accepted."""
         self.advance()
         self.hung = on
         self.update_rate()
 
     # -- probes and reports
     def answer_probe(self) -> tuple[Status, dict[str, float] | None]:
-        """A shallow probe: answered beside the queue, at the price of a little work."""
+        """Answer a shallow probe, which bypasses the queue and costs a little work.
+
+        Returns the status and the load report; FULL without a report above the rate limit of probes.
+        """
         now, tier = self.loop.now, self.tier
         max_rate = tier.probes_per_s * self.cores
         self.probe_tokens = min(max_rate, self.probe_tokens + (now - self.probe_tokens_at) * max_rate)
@@ -489,7 +499,7 @@
         return Status.OK, report
 
     def update_report(self) -> None:
-        """Before the number of held requests changes: keep what the reports since the last change said."""
+        """Record the value of the latest reports. Called before the number of held requests changes."""
         period_number = int((self.loop.now - self.report_phase) * 1e3 / self.tier.report_period_ms)
         if period_number != self.report_period_number:
             held_count = float(self.held_requests())
@@ -499,7 +509,7 @@
             self.report_value, self.report_period_number = held_count, period_number
 
     def _reported_load(self, now: float) -> float:
-        """Requests held when the report was last refreshed, as told by now, with noise."""
+        """Held requests according to the latest report that has been published by now, with noise."""
         tier = self.tier
         period_number = int(
             (now - tier.report_delay_ms / 1e3 - self.report_phase) * 1e3 / tier.report_period_ms
@@ -515,6 +525,7 @@
         return max(0.0, value * (1 + tier.report_noise * self.random.gauss(0.0, 1.0)))
 
     def list_entry(self, state: ServerState) -> ServerEntry:
+        """The server's entry on a list; its start is 0 if it ran before the day started."""
         return ServerEntry(
             self.id, self.zone, self.tier.name, self.cell, state, 1.0,
             self.started_at if self.warm_at > 0 else 0.0,
--- a/granitepoint/emulator/tally.py
+++ b/granitepoint/emulator/tally.py
@@ -1,4 +1,7 @@
-"""What is counted, and the records and the text that come of it. Nothing here depends on the machine."""
+"""Counters of one run, and the records and the report made from them.
+
+Nothing here depends on the machine, so a day and a seed always give the same output.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from granitepoint.fleet.results import Record, Writer
 
 OUTCOMES = ("in_time", "late", "refused", "failed", "timed_out", "left")
-WINDOW_LENGTH = 5.0  # s
+WINDOW_LENGTH = 5.0  # s of a window of the results
 WINDOW_HEADER = (
     "  from offered in-time%  late% refused%  fail%  t/o%  left%    p50 ms    p99 ms tries/r  att/r worth%"
 )
@@ -29,7 +32,7 @@
 
 
 class Depth(Record, kw_only=True, tag="depth"):
-    """One tier. Work in core seconds of a standard core."""
+    """Counts of one tier. Work is in seconds of a standard core."""
 
     depth: int
     name: str
@@ -38,7 +41,7 @@
     refused: int = 0
     failed: int = 0
     attempts: int = 0
-    full: int = 0  # attempts turned away
+    full: int = 0  # attempts rejected with status FULL
     errors: int = 0
     timeouts: int = 0
     connect_failed: int = 0
@@ -46,39 +49,39 @@
     probes: int = 0
     handshakes: int = 0
     chokes: int = 0
-    work_done: float = 0.0  # for requests that have ended there
-    work_served: float = 0.0  # of that, for answers that a client got in its time
+    work_done: float = 0.0  # of all finished attempts
+    work_served: float = 0.0  # part of it for answers that clients received within their deadlines
 
 
 class Window(Record, kw_only=True, tag="window"):
-    """The requests that were first sent in these seconds, whenever they ended."""
+    """Requests whose first try was sent in a window of WINDOW_LENGTH, whenever they ended."""
 
     from_s: float
     offered: int = 0
     ends: dict[str, int] = msgspec.field(default_factory=_zero_outcomes)
     tries: int = 0
-    attempts: int = 0  # over all tiers
+    attempts: int = 0  # at all tiers
     worth_offered: float = 0.0
     worth_served: float = 0.0
     latency: dict[str, float] = msgspec.field(default_factory=dict)
-    offered_by: dict[str, int] = msgspec.field(default_factory=dict)  # class
+    offered_by: dict[str, int] = msgspec.field(default_factory=dict)  # by class
     in_time_by: dict[str, int] = msgspec.field(default_factory=dict)
 
 
 class Sample(Record, kw_only=True, tag="sample"):
-    """Where the instances before one tier stand at a moment; means over those alive."""
+    """State of the instances that send to one tier, at one time. Only running instances are included."""
 
     at_s: float
     depth: int
     instances: int
-    window: float  # limit of calls in flight
-    drop: float  # share that is to be refused
-    out: int  # attempts in flight, of all
-    held: int  # calls that wait for their first attempt or a further one, of all
+    window: float  # mean concurrency limit
+    drop: float  # mean fraction of calls to reject
+    out: int  # attempts in flight, sum
+    held: int  # calls queued for a first or a further attempt, sum
 
 
 class Group(Record, kw_only=True, tag="group"):
-    """A class or a tenant."""
+    """Counts of the requests of one class or one tenant."""
 
     kind: str
     name: str
@@ -90,13 +93,15 @@
 
 
 class Seen(Record, kw_only=True, tag="event"):
-    """Something that a trouble did."""
+    """An event of the day: an effect of a fault."""
 
     at_s: float
     what: str
 
 
 class Begin(Record, kw_only=True, tag="begin"):
+    """First record: the day and its size."""
+
     name: str
     seed: int
     capacity_per_s: float
@@ -107,28 +112,30 @@
 
 
 class Total(Record, kw_only=True, tag="total"):
+    """Last record: results of the whole run."""
+
     requests: int
     ends: dict[str, int]
     in_time_share: float
-    worth_served: float  # share of what was asked for
-    worst_10_s: float  # the same, of the worst two windows one after the other
+    worth_served: float  # as a share of the worth offered
+    worst_10_s: float  # the lowest share of any two adjacent windows
     tries_per_request: float
     attempts_per_request: float
     calls: int  # to all instances
     work_offered: float  # core seconds
     work_done: float
-    wasted: float  # work done that served nobody, as a share of the work offered
+    wasted: float  # work done without a served request, as a share of the work offered
     chokes: int
-    steps: int  # batches that instances handled
-    breaks: dict[str, int]
+    steps: int  # batches of events that instances handled
+    breaks: dict[str, int]  # violations of each rule
 
 
 class EmulatorError(Exception):
-    """The world contradicts itself: a fault in the emulator."""
+    """An invariant of the emulator is violated: a bug in the emulator."""
 
 
 class Tally:
-    """Counts of one run."""
+    """Counters of one run."""
 
     def __init__(self, day: Day, tiers: list[Tier]) -> None:
         self.day = day
@@ -142,23 +149,29 @@
         self.requests = self.open_requests = self.steps = 0
         self.work_offered = 0.0
         self._latency: dict[int | str, Histogram] = {}
-        visits, self.mean_work_factor = 1.0, 0.0  # work of a request over all tiers, of its class's
+        visits, self.mean_work_factor = (
+            1.0,
+            0.0,
+        )  # total work of a request at all tiers, relative to its class's
         for tier in tiers:
             visits *= tier.calls
             self.mean_work_factor += visits * tier.work
 
     def window_at(self, now: float) -> Window:
+        """The window that contains this time; missing windows are created."""
         while len(self.windows) <= now / WINDOW_LENGTH:
             self.windows.append(Window(from_s=len(self.windows) * WINDOW_LENGTH))
         return self.windows[int(now / WINDOW_LENGTH)]
 
     def groups_of(self, request: Request) -> list[Window | Group]:
+        """The window, class and tenant in which a request is counted."""
         groups: list[Window | Group] = [request.window, self.classes[request.cls.name]]
         if request.tenant:
             groups.append(self.tenants[request.tenant])
         return groups
 
     def request_started(self, request: Request) -> None:
+        """Count a new request."""
         self.requests += 1
         self.open_requests += 1
         self.work_offered += request.cls.work_ms / 1e3 * self.mean_work_factor
@@ -171,7 +184,10 @@
     def request_ended(
         self, request: Request, outcome: str, elapsed: float, attempt: Attempt | None = None
     ) -> None:
-        """The one end of a request. `elapsed` in seconds since its first try. Raises EmulatorFault."""
+        """Count the end of a request, `elapsed` seconds after its first try. `outcome` is one of OUTCOMES.
+
+        Raises EmulatorError if the request has ended before.
+        """
         if request.ended:
             raise EmulatorError(f"request {request.number} ended twice")
         request.ended = True
@@ -192,6 +208,7 @@
             self.add_served_work(attempt)
 
     def add_served_work(self, attempt: Attempt) -> None:
+        """Count the work of an attempt and of all attempts at the tiers behind it as served."""
         pending = [attempt]
         while pending:
             one = pending.pop()
@@ -199,9 +216,11 @@
             pending += one.inner_attempts
 
     def record_event(self, at: float, what: str) -> None:
+        """Add an event of the day, at a time in seconds."""
         self.seen_events.append(Seen(at_s=round(at, 6), what=what))
 
     def total(self) -> Total:
+        """Results of the whole run."""
         ends = dict.fromkeys(OUTCOMES, 0)
         for window in self.windows:
             for outcome, count in window.ends.items():
@@ -214,9 +233,9 @@
             requests=self.requests,
             ends=ends,
             in_time_share=ends["in_time"] / count,
-            worth_served=_worth_served_share(self.windows),
+            worth_served=_served_utility_share(self.windows),
             worst_10_s=min(
-                [_worth_served_share(pair) for pair in pairs], default=_worth_served_share(self.windows)
+                [_served_utility_share(pair) for pair in pairs], default=_served_utility_share(self.windows)
             ),
             tries_per_request=sum(w.tries for w in self.windows) / count,
             attempts_per_request=sum(w.attempts for w in self.windows) / count,
@@ -243,14 +262,14 @@
         return [begin, *self.seen_events, *self.samples, *windows, *groups, *self.depths, self.total()]
 
 
-def _worth_served_share(groups: Iterable[Window | Group]) -> float:
+def _served_utility_share(groups: Iterable[Window | Group]) -> float:
     held = list(groups)
     offered = sum(group.worth_offered for group in held)
     return sum(group.worth_served for group in held) / offered if offered else 0.0
 
 
 def write(records: list[Record], path: Path) -> None:
-    """A record a line. Raises OSError."""
+    """Write one record per line. Raises OSError."""
     writer = Writer(path)
     try:
         for record in records:
@@ -260,7 +279,7 @@
 
 
 def text(records: list[Record]) -> str:
-    """The same in a few dozen lines."""
+    """Format the records as a report of a few dozen lines."""
     lines: list[str] = []
     for record in records:
         if isinstance(record, Begin):
@@ -296,7 +315,7 @@
 
 
 def _group_line(group: Group) -> str:
-    line = f"{group.kind} {group.name:24} {group.offered:8} worth served {_worth_served_share([group]):.4f}"
+    line = f"{group.kind} {group.name:24} {group.offered:8} worth served {_served_utility_share([group]):.4f}"
     latency = group.latency
     if not latency:
         return line
@@ -309,7 +328,7 @@
     ends = window.ends
     shares = [100 * ends[outcome] / count for outcome in OUTCOMES]
     latency = window.latency or {"p50_ms": 0.0, "p99_ms": 0.0}
-    utility = 100 * _worth_served_share([window])
+    utility = 100 * _served_utility_share([window])
     return (
         f"{window.from_s:6.0f} {window.offered:7} {shares[0]:8.1f} {shares[1]:6.1f} {shares[2]:8.1f} "
         f"{shares[3]:6.1f} {shares[4]:5.1f} {shares[5]:6.1f} {latency['p50_ms']:9.1f} "
--- a/granitepoint/emulator/troubles.py
+++ b/granitepoint/emulator/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles by time: what each does to servers, lists, proxies and clients, and undoes."""
+"""Fault injection: starts and ends the faults of a day on servers, lists, proxies and clients."""
 
 from __future__ import annotations
 
@@ -17,11 +17,13 @@
 
 
 class FaultInjector:
+    """Schedules the faults of a day; `random` chooses the affected servers."""
+
     def __init__(self, world: World, random: Random) -> None:
         self.world, self.loop, self.random = world, world.loop, random
 
     def start(self) -> None:
-        """Plan them all."""
+        """Schedule all faults of the day."""
         for fault in self.world.day.troubles:
             self.loop.call_at(fault.at_s, self._start_fault, fault)
 
@@ -55,7 +57,7 @@
         running = [server for server in self.world.servers_by_tier[tier] if server.up and not server.draining]
         return self.random.sample(running, min(count, len(running)))
 
-    # -- servers that go, and that come for them
+    # -- servers that stop, and their replacements
     def _schedule_drains(self, fault: DrainingFault) -> None:
         server_count = self.world.tiers[fault.tier].servers
         batch = max(1, round(fault.batch * server_count)) if isinstance(fault, days.Roll) else 1
@@ -85,7 +87,7 @@
     def _end_drain(self, argument: tuple[DrainingFault, Server]) -> None:
         fault, server = argument
         if not server.draining:
-            return  # a further trouble ended it
+            return  # another fault has stopped it
         self.world.stop(server, silent=False)
         if isinstance(fault, days.Roll) and not fault.surge:
             self.world.add_server(server.depth, server.zone, server.cell, server.speed)
@@ -111,7 +113,7 @@
             self.world.front.on_proxy_back(proxy)
         self._record_event("the zone is back, its servers cold")
 
-    # -- what is done and undone
+    # -- faults that start and end
     def _apply(self, fault: TemporaryFault, affected: list[Server], on: bool) -> None:
         world = self.world
         if isinstance(fault, days.FastErrors):
