--- a/granitepoint/emulator/calls.py
+++ b/granitepoint/emulator/calls.py
@@ -1,7 +1,8 @@
 """Requests of clients, calls to instances and attempts at servers.
 
-A client makes one or more tries for a request; each is a call to a proxy. Servers make calls too, to the
-instance that balances the next tier. An instance sends a call to servers, in one or more attempts.
+A client makes one or more tries for a request; each is a call to a proxy. A server of any tier but the last
+makes calls too, to an instance of its own, which balances them over the next tier. An instance sends a call
+to servers, in one or more attempts.
 """
 
 from __future__ import annotations
@@ -54,12 +55,14 @@
         self.number, self.cls, self.tenant, self.zone, self.created_at, self.work = (
             number, cls, tenant, zone, created_at, work,
         )  # fmt: skip
-        self.window = window
-        # Draws everything random about its calls, so that runs with other decisions get the same values.
+        # `work` is the work of its calls to the first tier, before the factor Tier.work.
+        self.window = window  # the window of the results in which the request is counted
+        # Draws the work, the number of inner calls and the error of each of its attempts. Each request has
+        # its own stream, so that other decisions about one request don't change what is drawn for the others.
         self.random = random
         self.deadline = created_at + cls.deadline_ms / 1e3
         self.utility = cls.worth
-        self.honors_retry_after = True  # whether the client waits as long as a refusal's Retry-After says
+        self.honors_retry_after = True  # whether its client waits as long as Retry-After says
         self.tries = 0
         self.ended = False
 
@@ -74,11 +77,11 @@
 
     def __init__(self, id: int, request: Request, caller: Caller, budget: float, work: float) -> None:
         self.id, self.request, self.caller = id, request, caller
-        self.work = work  # core seconds; each tier does its configured share of it
+        self.work = work  # core seconds; an attempt takes Tier.work times as much
         self.event = Arrival(id, request.cls.name, budget, request.tenant)
         self.deadline = math.inf  # set when an instance accepts the call
         self.attempts: list[Attempt] = []
-        self.in_flight = 0  # attempts without an outcome
+        self.in_flight = 0  # number of its attempts that have no outcome yet
         self.ended = False
         self.calling_attempt: Attempt | None = None  # attempt whose server makes the call; None: a client's
         self.instance: Instance | None = None
@@ -90,9 +93,9 @@
     def on_call_ended(
         self, call: Call, result: CallResult, retry_after: float, attempt: Attempt | None
     ) -> None:
-        """Handle the end of a call, once for each call.
+        """Handle the end of a call. Called at most once for a call, and not if the caller has left it.
 
-        `retry_after` is in seconds, `attempt` is the attempt that served the call.
+        `retry_after` is in seconds; `attempt` is the attempt that served the call, None if none did.
         """
 
 
@@ -137,16 +140,16 @@
         self.call, self.number, self.instance, self.server = call, number, instance, server
         self.sent_at, self.deadline = sent_at, deadline
         self.incarnation = server.incarnation  # of the process at the end of its connection; -1: none
-        self.idle_for = 0.0  # s that its connection was idle before; 0: a new connection
+        self.idle_for = 0.0  # s that its connection was idle before; 0: a new connection or none
         self.status = -1  # -1: in flight
         self.reply_status = -1  # status that the server has answered, before the answer arrives; -1: none
         self.state = AttemptState.IN_TRANSIT
         self.handshake_work = 0.0  # core seconds for the handshake of its connection
-        # Core seconds of the current phase, and of the phase after its calls.
+        # Core seconds of the current phase, and of the phase after its calls to the next tier.
         self.work = self.work_after_calls = 0.0
         self.finish_progress = 0.0  # Server.progress at which the current phase is done
         self.work_spent = 0.0  # core seconds that the server spent on it, without the handshake
-        self.remaining_calls = 0
+        self.remaining_calls = 0  # calls to the next tier that it has not completed
         self.inner_call: Call | None = None  # the call to the next tier in progress
         self.inner_attempts: list[Attempt] = []  # attempts that served its calls to the next tier
 
@@ -158,5 +161,5 @@
     if dist == "pareto":
         alpha = 1 + math.sqrt(1 + 1 / (cv * cv))
         return mean * (alpha - 1) / alpha * random.paretovariate(alpha)
-    variance = math.log1p(cv * cv)
-    return random.lognormvariate(math.log(mean) - variance / 2, math.sqrt(variance))
+    log_variance = math.log1p(cv * cv)
+    return random.lognormvariate(math.log(mean) - log_variance / 2, math.sqrt(log_variance))
--- a/granitepoint/emulator/clients.py
+++ b/granitepoint/emulator/clients.py
@@ -1,6 +1,6 @@
 """The clients: their requests, retries, and the front that distributes calls over the proxies.
 
-First tries are an open loop: they depend on the seed alone, not on any answer.
+First tries are an open loop: they depend on the day and its seed alone, not on any answer.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 if TYPE_CHECKING:
     from granitepoint.emulator.world import World
 
-MIN_BUDGET = 0.01  # s; a client doesn't start a try with less time left
-QUOTA_BURST = 1.0  # s; a tenant's token bucket holds its quota of this time
+MIN_BUDGET = 0.01  # s; a client retries only if more than this is left until its deadline
+# s; a tenant's token bucket holds the requests that its quota allows in this time, but at least one.
+QUOTA_BURST = 1.0
 
 
 class Clients:
@@ -43,7 +44,7 @@
         self.quotas = {t.name: t.quota * self.day.capacity() for t in self.day.tenants}
         self.quota_tokens = {name: quota * QUOTA_BURST for name, quota in self.quotas.items()}
         self.quota_updated_at = dict.fromkeys(self.quotas, 0.0)
-        self.shape_index = 0  # of the last point of `traffic.shape` that has been reached
+        self.shape_index = 0  # index of the last point of `traffic.shape` that has been reached
 
     def start(self) -> None:
         """Schedule the first arrival."""
@@ -103,12 +104,16 @@
         self._send_try(request)
 
     def draw_work(self, cls: Class, depth: int, random: Random) -> float:
-        """Draw the core seconds of a call to the tier `depth`; every call is drawn independently."""
+        """Draw the work of a call to the tier `depth` (0: the first), in core seconds.
+
+        The factor Tier.work is not applied yet. Each call of a server is drawn independently; all tries
+        of a client's request have the same work.
+        """
         work = draw(random, cls.dist, cls.work_ms / 1e3, cls.cv)
         if self.heavy_tails:
-            share, times = self.heavy_tails.get((cls.name, depth), (0.0, 1.0))
+            share, work_factor = self.heavy_tails.get((cls.name, depth), (0.0, 1.0))
             if random.random() < share:
-                work *= times
+                work *= work_factor
         return work
 
     def _take_quota_token(self, tenant: str, now: float) -> bool:
@@ -127,7 +132,7 @@
             budget = min(budget, behavior.try_share * request.cls.deadline_ms / 1e3)
         request.tries += 1
         request.window.tries += 1
-        call = Call(self.world.next_call(), request, self, budget, request.work)
+        call = Call(self.world.next_call_id(), request, self, budget, request.work)
         proxy = self.world.front.choose(request.zone, self.retry_random)
         if proxy is None:
             self.loop.call_at(now + 2 * self.network_delay, self._on_no_proxy, call)
@@ -175,7 +180,7 @@
 
     @staticmethod
     def _may_repeat(request: Request, now: float) -> bool:
-        """Whether the request may be sent again although it may have been executed."""
+        """Whether another try is allowed at `now` although the request may already have been executed."""
         cls = request.cls
         if cls.effect == "by_key":
             return cls.group == "all" and now < request.created_at + cls.window_ms / 1e3
@@ -228,7 +233,7 @@
             self.proxies_by_zone[proxy.zone].remove(proxy)
 
     def on_proxy_back(self, proxy: Instance) -> None:
-        """Add a restarted proxy again."""
+        """Add a restarted proxy again, if the front has removed it."""
         if proxy not in self.proxies:
             self.add(proxy)
 
--- a/granitepoint/emulator/command.py
+++ b/granitepoint/emulator/command.py
@@ -28,8 +28,8 @@
 ) -> int:
     """Play a day (one scenario) in simulated time.
 
-    DAY is a TOML file, or a day that the simulator generated (.json). The results go to standard output, the
-    run time to standard error. Returns the exit code.
+    DAY is a TOML file, or a day that the simulator generated with `lbsim draw` (.json). The results go to
+    standard output, the run time to standard error. Returns the exit code.
     """
     try:
         loaded_day = drawn.load(day) if day.suffix == ".json" else load(day)
--- a/granitepoint/emulator/day.py
+++ b/granitepoint/emulator/day.py
@@ -39,7 +39,7 @@
     try_share: float = 1.0  # time limit of a try that may be repeated, as a share of the deadline
     backoff: Literal["none", "fixed", "exp"] = "exp"
     backoff_ms: float = 100.0
-    honour: float = 1.0  # share of requests whose retry waits as long as Retry-After says
+    honour: float = 1.0  # share of requests whose retries wait for Retry-After (at most `max_retry_after_s`)
     impatient: float = 0.0  # share of tries that the client leaves at a random moment of its wait
 
 
@@ -53,15 +53,15 @@
 
 
 class Discovery(_StrictStruct):
-    """Service discovery: how late the lists of servers are, and the capacity of its endpoint."""
+    """Service discovery: how late the lists of servers are, and the capacity of the service."""
 
     mode: Literal["ask", "push"] = "ask"
-    add_s: float = 1.0  # until a started server is on the list
+    add_s: float = 1.0  # until a started server is added to the next version of the list
     notice_s: float = 2.0  # until a server that stopped after a drain is removed from the list
     silent_notice_s: float = 6.0  # until a server that stopped unannounced is removed
     period_s: float = 0.5  # between two versions of the list
     spread_s: float = 0.1  # maximum delay of a pushed version to an instance
-    lines_per_s: float = 2000.0  # list lines that the discovery endpoint can send
+    lines_per_s: float = 2000.0  # list lines that the discovery service can send
     call_lines: float = 50.0  # cost of a call in addition to its list lines
     timeout_s: float = 2.0  # a call that is not started within this time fails
 
@@ -75,32 +75,35 @@
 
 
 class Limits(_StrictStruct):
-    """What instances may do: attempts, hedging, cancels, probes and advice to wait."""
+    """What instances may do: attempts, hedging, cancels, probes and advice to wait (Retry-After)."""
 
-    max_attempts: int = 3
-    duplicates: bool = False
-    cancel: bool = True
+    max_attempts: int = 3  # per call
+    duplicates: bool = False  # several attempts of a call may be in flight at once
+    cancel: bool = True  # attempts in flight may be cancelled
     probes: bool = True
-    retry_after: bool = True
+    retry_after: bool = True  # refusals may carry a Retry-After
     max_retry_after_s: float = 2.0
-    conn_idle_s: float = 30.0
+    conn_idle_s: float = 30.0  # idle connections are closed after this time
     connect_timeout_ms: float = 250.0
 
 
 class Rules(_StrictStruct):
-    """Rules of the platform; the emulator counts violations of them."""
+    """Rules of the platform. The emulator counts violations of them; see Tally.violations."""
 
-    grace_to_answer_ms: float = 20.0
-    drain_grace_ms: float = 250.0
-    cold_from: float = 0.4  # as configured for the instances; the servers' real value is Tier.cold_from
+    grace_to_answer_ms: float = 20.0  # how long after a call's deadline its answer may still be given
+    drain_grace_ms: float = 250.0  # how long a server may get attempts after its drain was announced
+    # As configured for the instances; the servers' real values are Tier.cold_from and Tier.cold_s.
+    cold_from: float = 0.4
     cold_s: float = 8.0
+    # A cold server crashes if the work that it gets within `fall_s` exceeds `fall_multiple` times what it can
+    # do in that time.
     fall_multiple: float = 3.0
     fall_s: float = 2.0
-    must_ask_in_s: float = 10.0
+    must_ask_in_s: float = 10.0  # maximum time without a watch or a call to discovery; not checked
 
 
 class Prices(_StrictStruct):
-    """Prices as configured for the instances. The emulator itself doesn't charge them."""
+    """Prices as configured for the instances, in points of worth. The emulator doesn't charge them."""
 
     cross_zone: float = 0.0
     waste: float = 0.25
@@ -111,17 +114,18 @@
 
 
 class Choke(_StrictStruct, kw_only=True):
-    """Overload that persists: a server that is crowded for `over_s` is choked (slower) until it has rested.
+    """Overload that outlasts its cause: a server that was crowded for `over_s` is choked (slower).
 
     A server is crowded while it has at least `at` requests per core. Each second without crowding takes back
-    one second of crowded time.
+    one second of crowded time. A choke ends when the server has rested, that is when its cores were little
+    used for `rest_s`, or after `most_s`.
     """
 
     at: float  # requests that need a core (running or queued), per core
-    over_s: float
+    over_s: float  # crowded time that starts a choke
     slower: float  # factor by which a choked server is slower
-    rest_s: float  # length of the rest that ends the choke
-    below: float  # it rests while the used share of its cores is below this
+    rest_s: float  # period over which the use of the cores is averaged
+    below: float  # the server has rested if the used share of its cores is on average below this
     most_s: float  # maximum duration of a choke
 
 
@@ -146,7 +150,7 @@
     cold_from: float = 0.5  # share of its capacity that a server has at its start
     cold_s: float = 6.0  # until it has its full capacity; the share grows linearly
     error_rate: float = 0.0
-    cancel: Literal["none", "queued", "running"] = "none"  # work that is stopped for a caller that left
+    cancel: Literal["none", "queued", "running"] = "none"  # work that is stopped when its attempt is given up
     drops_expired: bool = False  # a queued request is dropped if its deadline has passed
     handshake_rtts: float = 1.5
     handshake_us: float = 1000.0  # CPU time of the server, on a standard core
@@ -170,13 +174,14 @@
     dist: Literal["fixed", "lognormal", "pareto"] = "lognormal"
     cv: float = 1.0
     attempt_noise: float = 0.0  # coefficient of variation of work between attempts of one call
-    aim_ms: float
-    deadline_ms: float
-    worth: float = 1.0
-    late_worth: float = 0.0
+    aim_ms: float  # latency objective: an answer within it is in time
+    deadline_ms: float  # time that a client waits in total, over all its tries
+    worth: float = 1.0  # utility of an answer in time, in points
+    late_worth: float = 0.0  # share of `worth` that an answer between `aim_ms` and `deadline_ms` has
+    # What may happen if it is executed twice: nothing; nothing if servers recognize the duplicate; harm.
     effect: Literal["repeatable", "by_key", "once"] = "repeatable"
-    group: Literal["all", "zone", "cell"] = "all"
-    window_ms: float = 0.0
+    group: Literal["all", "zone", "cell"] = "all"  # by_key only: the servers that recognize a duplicate
+    window_ms: float = 0.0  # by_key only: how long they recognize it
 
 
 class TenantShare(_StrictStruct, kw_only=True):
@@ -197,7 +202,7 @@
     part: float = 1.0  # share of the tier that is replaced
     batch: float = 0.1  # share of the tier
     drain_s: float = 3.0
-    surge: bool = False  # replacements start first; the old servers drain once those are listed
+    surge: bool = False  # replacements start first; the old servers drain when those should be on the list
 
 
 class Shrink(_StrictStruct, kw_only=True, tag="shrink", tag_field="kind"):
@@ -211,7 +216,7 @@
 
 
 class ZoneLoss(_StrictStruct, kw_only=True, tag="zone_loss", tag_field="kind"):
-    """All servers and proxies of a zone become unreachable, and come back as new, cold processes."""
+    """All servers and proxies of a zone become unreachable. They come back as new, cold processes."""
 
     at_s: float
     for_s: float
@@ -275,9 +280,9 @@
     duration_s: float  # period in which clients send first tries
     tick_ms: float = 5.0  # shortest time between two batches of events of an instance
     zones: list[str] = msgspec.field(default_factory=lambda: ["a"])
-    passes_deadline: bool = False
-    worth_by_work: bool = False
-    over_share_worth: float = 1.0
+    passes_deadline: bool = False  # servers pass the remaining time on to the calls that they make
+    worth_by_work: bool = False  # the worth of a request is multiplied by its work in core seconds
+    over_share_worth: float = 1.0  # factor on the worth of a tenant's requests beyond its quota
     traffic: Traffic
     clients: Clients = msgspec.field(default_factory=Clients)
     network: Network = msgspec.field(default_factory=Network)
@@ -307,12 +312,14 @@
 
     def capacity(self) -> float:
         """Requests per second that the bottleneck tier can serve."""
-        visits, lowest_rate = 1.0, math.inf
+        calls_per_request, lowest_rate = 1.0, math.inf
         for tier in self.expanded_tiers():
-            visits *= tier.calls
+            calls_per_request *= tier.calls
             tier_speed = (sum(tier.speeds) or tier.servers * tier.speed) * tier.cores
-            if visits * tier.work > 0:
-                lowest_rate = min(lowest_rate, tier_speed / (self.mean_work() * tier.work * visits))
+            if calls_per_request * tier.work > 0:
+                lowest_rate = min(
+                    lowest_rate, tier_speed / (self.mean_work() * tier.work * calls_per_request)
+                )
         return lowest_rate
 
     def rate(self) -> float:
--- a/granitepoint/emulator/drawn.py
+++ b/granitepoint/emulator/drawn.py
@@ -14,7 +14,7 @@
 from granitepoint.emulator.day import Day, check
 from granitepoint.fleet.experiment import ExperimentError
 
-# Values and keys of the simulator's file -> those of a day of the emulator.
+# Maps values and keys of the simulator's file to those of a day of the emulator.
 EFFECTS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 CHOKE_FIELDS = {
     "at": "at", "over": "over_s", "slower": "slower", "rest": "rest_s", "below": "below", "most": "most_s",
@@ -48,7 +48,7 @@
         generated["allow"],
     )
     proxies = [one for one in generated["balancers"] if one["tier"] == 0]
-    conn = generated["tiers"][0]
+    first_tier = generated["tiers"][0]
     discovery = generated["discovery"]
     return {
         "name": f"{generated['site']}-{generated['kind']}",
@@ -97,13 +97,13 @@
             "probes": allow["probes"],
             "retry_after": allow["retry_after"],
             "max_retry_after_s": _seconds(clients["max_retry_after"]),
-            "conn_idle_s": _seconds(conn["conn_idle"]),
-            "connect_timeout_ms": conn["connect_timeout"] / 1e3,
+            "conn_idle_s": _seconds(first_tier["conn_idle"]),
+            "connect_timeout_ms": first_tier["connect_timeout"] / 1e3,
         },
         "rules": {
             "drain_grace_ms": generated["drain_grace"] / 1e3,
-            "cold_from": conn["stated_cold_from"],
-            "cold_s": _seconds(conn["stated_cold"]),
+            "cold_from": first_tier["stated_cold_from"],
+            "cold_s": _seconds(first_tier["stated_cold"]),
             "fall_multiple": generated["fall_multiple"],
             "fall_s": _seconds(generated["fall_for"]),
         },
--- a/granitepoint/emulator/instance.py
+++ b/granitepoint/emulator/instance.py
@@ -44,7 +44,7 @@
         self.settings.me = me
         self.tier_counts = world.tally.depths[stage]
         self.registry = world.registries[stage]
-        self.number: int = world.next_instance()
+        self.number: int = world.next_instance_number()
         self.tick_length = self.day.tick_ms / 1e3
         self.idle_timeout = self.day.limits.conn_idle_s
         self.connect_timeout = self.day.limits.connect_timeout_ms / 1e3
@@ -63,7 +63,8 @@
         self.listed_servers: set[int] = set()  # servers that have been on any of its lists
         # For each server that drains or is gone: when the instance was notified of it.
         self.leaving_since: dict[int, float] = {}
-        self.notified_starts: dict[int, float] = {}  # start time of each server on the latest list
+        # Latest listed start time of each server; none for servers that ran before the day started.
+        self.notified_starts: dict[int, float] = {}
         self.version = 0
         self.watching = False
 
@@ -113,7 +114,7 @@
 
     # -- batches
     def post(self, event: api.Event) -> None:
-        """Add an event to the next batch; a batch starts with the next tick."""
+        """Add an event to the next batch, which is handled at the next tick."""
         self.inbox.append(event)
         if self.next_batch_tick < 0:
             self.next_batch_tick = int(self.loop.now / self.tick_length) + 1
@@ -214,7 +215,7 @@
         call.caller.on_call_ended(call, CallResult.LOST, 0.0, None)
 
     def caller_left(self, call: Call) -> None:
-        """End a call whose caller no longer waits."""
+        """End a call whose caller no longer waits for it; on_call_ended is not called."""
         if not call.ended:
             call.ended = True
             if not call.in_flight:
@@ -257,14 +258,15 @@
         cls = call.request.cls
         if call.in_flight and not self.day.limits.duplicates:
             return False
-        first = next((one for one in call.attempts if one.status not in NEVER_RAN), None)
-        if first is None or cls.effect == "repeatable":
+        # The first attempt that may have been executed.
+        first_executed = next((one for one in call.attempts if one.status not in NEVER_RAN), None)
+        if first_executed is None or cls.effect == "repeatable":
             return True
-        if cls.effect == "once" or self.loop.now > first.sent_at + cls.window_ms / 1e3:
+        if cls.effect == "once" or self.loop.now > first_executed.sent_at + cls.window_ms / 1e3:
             return False
         if cls.group == "all":
             return True
-        first_server = first.server
+        first_server = first_executed.server
         return first_server.zone == server.zone and (cls.group == "zone" or first_server.cell == server.cell)
 
     # -- attempts
@@ -416,8 +418,8 @@
         incarnation, pool = argument
         if incarnation != self.incarnation:
             return
-        oldest = self.loop.now - self.idle_timeout
-        while pool.idle and pool.idle[0][1] <= oldest + 1e-9:
+        expiry_cutoff = self.loop.now - self.idle_timeout
+        while pool.idle and pool.idle[0][1] <= expiry_cutoff + 1e-9:
             if pool.idle.pop(0)[0] == pool.server.incarnation:
                 pool.server.open_connections -= 1
         pool.expiry_scheduled = bool(pool.idle)
--- a/granitepoint/emulator/loop.py
+++ b/granitepoint/emulator/loop.py
@@ -18,7 +18,7 @@
         self._heap: list[tuple[float, int, Callable[[Any], None], Any]] = []
 
     def call_at(self, time: float, callback: Callable[[Any], None], argument: object = None) -> None:
-        """Schedule callback(argument) for `time`, in seconds; a time in the past means `now`."""
+        """Schedule callback(argument) for `time`, in seconds; a time in the past means at once."""
         self._scheduled_count += 1
         heappush(self._heap, (time, self._scheduled_count, callback, argument))
 
--- a/granitepoint/emulator/registry.py
+++ b/granitepoint/emulator/registry.py
@@ -1,4 +1,4 @@
-"""Service discovery: the list of each tier's servers, which lags behind, and the endpoint that sends it."""
+"""Service discovery: the list of each tier's servers, late by a delay, and the queue of calls."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
     from granitepoint.emulator.world import World
 
 
-class DiscoveryEndpoint:
-    """The discovery service that all instances call.
+class DiscoveryQueue:
+    """Queue of the discovery service, which all instances call.
 
-    It handles one call at a time, in order; a call takes a fixed time plus a time per list line.
+    The service handles one call at a time, in order; a call takes a fixed time plus a time per list line.
     """
 
     def __init__(self, world: World) -> None:
         self.config, self.loop = world.day.discovery, world.loop
-        self.free_at = 0.0
+        self.free_at = 0.0  # time at which all queued calls are done
 
     def schedule_call(self, lines: int) -> tuple[float, bool]:
         """Queue a call whose answer has that many lines.
 
-        Returns the time in seconds at which the call ends, and whether it is answered (else it times out).
+        Returns the time in seconds at which the call ends, and whether it is answered. It times out if its
+        turn doesn't come within `timeout_s`.
         """
         now, config = self.loop.now, self.config
         start = max(now, self.free_at)
@@ -38,21 +39,21 @@
 
 
 class Registry:
-    """The list of one tier's servers as discovery has it: processes that are serving, draining or gone."""
+    """The list of one tier's servers as discovery has it. `random` draws the delays of pushed changes."""
 
-    def __init__(self, world: World, endpoint: DiscoveryEndpoint, random: Random) -> None:
+    def __init__(self, world: World, call_queue: DiscoveryQueue, random: Random) -> None:
         self.world, self.loop, self.config = world, world.loop, world.day.discovery
-        self.endpoint, self.random = endpoint, random
-        self.entries: dict[int, ServerEntry] = {}  # latest version of the list
+        self.call_queue, self.random = call_queue, random
+        self.entries: dict[int, ServerEntry] = {}  # latest version of the list, by server id
         self.changes: list[ServerEntry] = []  # all changes; version n is the list after the first n of them
-        self.watchers: dict[int, Instance] = {}
+        self.watchers: dict[int, Instance] = {}  # instances that get changes, by their numbers
         self.push_scheduled = False
-        self.extra_delay = 0.0  # s that changes are delayed in addition, by a fault
+        self.extra_delay = 0.0  # s; additional delay of changes during a StaleDiscovery fault
         self._changes_by_version: dict[int, list[ServerEntry]] = {}
 
     # -- changes of servers
     def add_initial(self, server: Server) -> None:
-        """Add a server that runs since before the day started."""
+        """Add a server that has been running since before the day started."""
         self.entries[server.id] = server.list_entry(ServerState.SERVING)
 
     def on_started(self, server: Server) -> None:
@@ -118,7 +119,7 @@
         if not on:
             self.leave(instance)
             return
-        due, answered = self.endpoint.schedule_call(len(self.changes) - instance.version)
+        due, answered = self.call_queue.schedule_call(len(self.changes) - instance.version)
         self.loop.call_at(
             due,
             self._on_watch_answered if answered else self._on_call_failed,
@@ -127,7 +128,7 @@
 
     def fetch(self, instance: Instance) -> None:
         """Handle a call for the full list."""
-        due, answered = self.endpoint.schedule_call(len(self.entries))
+        due, answered = self.call_queue.schedule_call(len(self.entries))
         self.loop.call_at(
             due,
             self._on_fetch_answered if answered else self._on_call_failed,
--- a/granitepoint/emulator/server.py
+++ b/granitepoint/emulator/server.py
@@ -17,7 +17,7 @@
     from granitepoint.emulator.world import World
 
 WORK_FRACTION_BEFORE_CALLS = 0.5  # of an attempt's work; the rest follows its calls to the next tier
-FAST_ERROR_TIME = 1e-3  # s until a request fails during a FastErrors fault
+FAST_ERROR_TIME = 1e-3  # s from the arrival of a request to its failure during a FastErrors fault
 WORK_EPSILON = 1e-9  # core seconds; less remaining work counts as none
 # Fraction of the drain time in which new requests are still accepted, because lists arrive late.
 DRAIN_ACCEPT_FRACTION = 0.5
@@ -30,9 +30,9 @@
     `depth` is the index of its tier. A request with calls to the next tier runs in two phases, one before and
     one after the calls.
 
-    Times are in seconds, work is in seconds of a standard core. `progress` is the work that each running
-    request has received since the process started (the virtual time of processor sharing). A request is done
-    when `progress` reaches its value at the start of the request plus the work of the request.
+    Times are in seconds, work is in seconds of a standard core. `progress` is the work that a request would
+    have received if it had been running since the process started (the virtual time of processor sharing). A
+    phase is done when `progress` reaches its value at the start of the phase plus the work of the phase.
     """
 
     def __init__(
@@ -279,7 +279,7 @@
             self._finish_attempt(attempt, Status.ERROR)
             return
         work = self.world.clients.draw_work(request.cls, self.depth + 1, request.random)
-        call = Call(self.world.next_call(), request, self, budget, work)
+        call = Call(self.world.next_call_id(), request, self, budget, work)
         call.calling_attempt, attempt.inner_call = attempt, call
         instance.accept(call)
 
@@ -371,10 +371,11 @@
 
     # -- cold starts, chokes, stop and start
     def _overloads_cold_process(self, attempt: Attempt, work: float) -> bool:
-        """Count the work sent to a cold process; too much within `Rules.fall_s` crashes the process.
+        """Count the work sent to a cold process, which crashes if it gets too much within `Rules.fall_s`.
 
-        Returns whether it has crashed. To leave slack for random work, the newest request is not counted, and
-        a request counts at most the work that the process can do in that time.
+        Too much is more than `Rules.fall_multiple` times the work that it can do in that time. To leave slack
+        for random work, the newest request is not counted, and a request counts at most the work that the
+        process can do in that time. Returns whether the process has crashed.
         """
         rules, now = self.world.day.rules, self.loop.now
         cold_sends = self.cold_sends
@@ -481,7 +482,7 @@
 
     # -- probes and reports
     def answer_probe(self) -> tuple[Status, dict[str, float] | None]:
-        """Answer a shallow probe, which bypasses the queue and costs a little work.
+        """Answer a shallow probe: it bypasses the queue, makes no calls and costs a little work.
 
         Returns the status and the load report; FULL without a report above the rate limit of probes.
         """
--- a/granitepoint/emulator/tally.py
+++ b/granitepoint/emulator/tally.py
@@ -57,15 +57,15 @@
     """Requests whose first try was sent in a window of WINDOW_LENGTH, whenever they ended."""
 
     from_s: float
-    offered: int = 0
-    ends: dict[str, int] = msgspec.field(default_factory=_zero_outcomes)
+    offered: int = 0  # requests
+    ends: dict[str, int] = msgspec.field(default_factory=_zero_outcomes)  # requests by outcome
     tries: int = 0
     attempts: int = 0  # at all tiers
     worth_offered: float = 0.0
     worth_served: float = 0.0
-    latency: dict[str, float] = msgspec.field(default_factory=dict)
+    latency: dict[str, float] = msgspec.field(default_factory=dict)  # Histogram.summary of served requests
     offered_by: dict[str, int] = msgspec.field(default_factory=dict)  # by class
-    in_time_by: dict[str, int] = msgspec.field(default_factory=dict)
+    in_time_by: dict[str, int] = msgspec.field(default_factory=dict)  # by class
 
 
 class Sample(Record, kw_only=True, tag="sample"):
@@ -118,7 +118,7 @@
     ends: dict[str, int]
     in_time_share: float
     worth_served: float  # as a share of the worth offered
-    worst_10_s: float  # the lowest share of any two adjacent windows
+    worst_10_s: float  # lowest share of worth served in two adjacent windows (10 s)
     tries_per_request: float
     attempts_per_request: float
     calls: int  # to all instances
@@ -135,7 +135,7 @@
 
 
 class Tally:
-    """Counters of one run."""
+    """Counts the requests, calls, attempts and rule violations of one run."""
 
     def __init__(self, day: Day, tiers: list[Tier]) -> None:
         self.day = day
@@ -143,6 +143,10 @@
         self.windows: list[Window] = []
         self.classes = {cls.name: Group(kind="class", name=cls.name) for cls in day.classes}
         self.tenants = {t.name: Group(kind="tenant", name=t.name) for t in day.tenants}
+        # unanswered: a call had no answer in time. repeat: a call was sent again, or refused, although it may
+        # have been executed. drain: an attempt was sent to a server that drains or is gone. cold_fall: a cold
+        # server crashed, and most of its work came from instances that had been notified of its start.
+        # out_of_place: an action that is not possible.
         self.violations = {"unanswered": 0, "repeat": 0, "drain": 0, "cold_fall": 0, "out_of_place": 0}
         self.seen_events: list[Seen] = []
         self.samples: list[Sample] = []
@@ -150,10 +154,10 @@
         self.work_offered = 0.0
         self._latency: dict[int | str, Histogram] = {}
         # Mean work of a request at all tiers, relative to the work of its class.
-        visits, self.mean_work_factor = 1.0, 0.0
+        calls_per_request, self.mean_work_factor = 1.0, 0.0
         for tier in tiers:
-            visits *= tier.calls
-            self.mean_work_factor += visits * tier.work
+            calls_per_request *= tier.calls
+            self.mean_work_factor += calls_per_request * tier.work
 
     def window_at(self, now: float) -> Window:
         """The window that contains this time; missing windows are created."""
@@ -261,7 +265,7 @@
 
 
 def _served_utility_share(groups: Iterable[Window | Group]) -> float:
-    """Worth served as a share of the worth offered."""
+    """The utility (worth) served as a share of the utility offered."""
     group_list = list(groups)
     offered = sum(group.worth_offered for group in group_list)
     return sum(group.worth_served for group in group_list) / offered if offered else 0.0
--- a/granitepoint/emulator/troubles.py
+++ b/granitepoint/emulator/troubles.py
@@ -60,14 +60,14 @@
     # -- servers that stop, and their replacements
     def _schedule_drains(self, fault: DrainingFault) -> None:
         server_count = self.world.tiers[fault.tier].servers
-        batch = max(1, round(fault.batch * server_count)) if isinstance(fault, days.Roll) else 1
+        batch_size = max(1, round(fault.batch * server_count)) if isinstance(fault, days.Roll) else 1
         chosen = self._choose_servers(fault.tier, max(1, round(fault.part * server_count)))
-        offsets = range(0, len(chosen), batch)
+        offsets = range(0, len(chosen), batch_size)
         for offset in offsets:
-            due = self.loop.now + fault.for_s * offset / batch / len(offsets)
+            due = self.loop.now + fault.for_s * offset / batch_size / len(offsets)
             is_surge = isinstance(fault, days.Roll) and fault.surge
-            step = self._start_replacements if is_surge else self._drain
-            self.loop.call_at(due, step, (fault, chosen[offset : offset + batch]))
+            callback = self._start_replacements if is_surge else self._drain
+            self.loop.call_at(due, callback, (fault, chosen[offset : offset + batch_size]))
 
     def _start_replacements(self, argument: tuple[DrainingFault, list[Server]]) -> None:
         for server in argument[1]:
@@ -87,7 +87,7 @@
     def _end_drain(self, argument: tuple[DrainingFault, Server]) -> None:
         fault, server = argument
         if not server.draining:
-            return  # another fault has stopped it
+            return  # it has been stopped in the meantime, by a zone loss or a crash while cold
         self.world.stop(server, silent=False)
         if isinstance(fault, days.Roll) and not fault.surge:
             self.world.add_server(server.depth, server.zone, server.cell, server.speed)
--- a/granitepoint/experiments/cell.py
+++ b/granitepoint/experiments/cell.py
@@ -1,7 +1,7 @@
 """Runs one day in the emulator: reads the day as JSON on standard input, writes its records as JSON lines.
 
-Each cell runs in its own process, from the source tree of its version, so that cells share no state and no
-imported modules. The records go to standard output.
+Each cell of an experiment (one variant on one day with one seed) runs in its own process, from the source
+tree of its version, so that cells share no state and no imported modules. The records go to standard output.
 """
 
 from __future__ import annotations
--- a/granitepoint/experiments/command.py
+++ b/granitepoint/experiments/command.py
@@ -1,4 +1,7 @@
-"""Implements the commands `experiment` and `report`."""
+"""Implements the commands `experiment` and `report`.
+
+A cell is one run of an experiment: one variant on one day with one seed.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,10 @@
 
 
 def stored_experiment(store: Store) -> Experiment:
-    """Returns the experiment whose results the store holds. Raises StoreError."""
+    """Returns the experiment whose results the store holds.
+
+    Raises StoreError if it is invalid, sqlite3.Error if the database reports an error.
+    """
     try:
         return msgspec.json.decode(store.get_metadata("experiment"), type=Experiment)
     except msgspec.MsgspecError as error:
--- a/granitepoint/experiments/page.py
+++ b/granitepoint/experiments/page.py
@@ -1,4 +1,7 @@
-"""The report: one HTML page with tables of the comparison, and plots of a good and a bad run side by side."""
+"""The report: one HTML page with tables of the comparison, and plots of a good and a bad run side by side.
+
+A cell is one run of an experiment: one variant on one day with one seed.
+"""
 
 from __future__ import annotations
 
--- a/granitepoint/experiments/store.py
+++ b/granitepoint/experiments/store.py
@@ -1,6 +1,7 @@
 """Stores results in a SQLite file: one row per cell, written when the cell ends.
 
-An interrupt loses only the cells that are running.
+A cell is one run of an experiment: one variant on one day with one seed. An interrupt loses only the cells
+that are running.
 """
 
 from __future__ import annotations
@@ -48,8 +49,8 @@
     seed: int
     digest: str
     commit: str
-    took_s: float
-    fault: str
+    took_s: float  # real time
+    fault: str  # error message; empty: the cell ran to its end
     records: bytes = b""
 
     def decode_records(self) -> list[EmulatorRecord]:
@@ -77,7 +78,7 @@
 
 
 class Store:
-    """A file of results. Methods raise StoreError if the database reports an error."""
+    """A file of results. Methods but get_metadata raise StoreError if the database reports an error."""
 
     def __init__(self, path: Path, *, create: bool = False) -> None:
         """Opens the file; `create` creates it if it does not exist. Raises StoreError."""
--- a/granitepoint/experiments/versions.py
+++ b/granitepoint/experiments/versions.py
@@ -19,7 +19,7 @@
 # The events and actions of the decision module, and the package's exports of them. They are replaced together
 # with the module, because later exports name events that an earlier interface does not have.
 INTERFACE_FILES = ("granitepoint/interface.py", "granitepoint/__init__.py")
-SIMULATION_PACKAGES = ("emulator", "fleet")  # besides the module, they determine the results of a cell
+SIMULATION_PACKAGES = ("emulator", "fleet")  # besides the decision module, they determine a cell's results
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
     root: Path
     commit: str  # of the decision module; empty: the work tree
-    digest: str  # of all source files that determine the results
+    digest: str  # of the source files that `_digest` covers
 
 
 def _git(*arguments: str, root: Path) -> bytes:
@@ -40,7 +40,11 @@
 
 
 def _digest(package: Path) -> str:
-    """Hashes the paths and contents of the decision module and of the packages that simulate its peers."""
+    """Hashes the paths and contents of source files that determine the results of a cell.
+
+    They are the top-level modules of `package`, the modules of its folder `policy` if it has one, and the
+    modules of SIMULATION_PACKAGES. The folder `membership`, a part of the decision module, is not covered.
+    """
     hasher = hashlib.sha256()
     files = [
         *package.glob("*.py"),
